--- a/emulator/fleet/src/prompt.ts
+++ b/emulator/fleet/src/prompt.ts
@@ -1,10 +1,10 @@
-import type {RequestFacts} from '@valvesaddle/gateway-types';
+import type {RequestMetadata} from '@valvesaddle/gateway-types';
 
 /**
 A caller's request with what only the engine learns.
 */
 export type Prompt = {
-	readonly facts: RequestFacts;
+	readonly facts: RequestMetadata;
 	readonly events: number;
 	/**
 	Credit of an answer in time and of a late one.
--- a/gateway/forwarding/src/classify-answer.ts
+++ b/gateway/forwarding/src/classify-answer.ts
@@ -1,4 +1,4 @@
-import type {AnswerFacts} from '@valvesaddle/gateway-types';
+import type {AnswerMetadata} from '@valvesaddle/gateway-types';
 import type {Verdict} from './verdict.ts';
 
 /**
@@ -12,7 +12,7 @@
  @example
  classifyAnswer(200, {requestId: 'a', isSigned: true, isNotRun: false, isEventStream: false, isEncoded: false, isMisdirected: false, retryAfterMs: undefined, isLeaving: false}, 'a'); // 'whole'
  */
-export function classifyAnswer(status: number, facts: AnswerFacts, requestId: string | undefined): Verdict {
+export function classifyAnswer(status: number, facts: AnswerMetadata, requestId: string | undefined): Verdict {
 	if (facts.requestId !== undefined && facts.requestId !== requestId) {
 		return 'untrusted';
 	}
@@ -38,7 +38,7 @@
 	return status < 300 ? classifySuccess(facts) : 'whole';
 }
 
-function classifySuccess({isEncoded, isEventStream}: AnswerFacts): Verdict {
+function classifySuccess({isEncoded, isEventStream}: AnswerMetadata): Verdict {
 	if (isEncoded) {
 		return 'untrusted';
 	}
--- a/gateway/forwarding/src/create-attempt.ts
+++ b/gateway/forwarding/src/create-attempt.ts
@@ -1,5 +1,5 @@
 import type {Exchange, Flow} from '@valvesaddle/exchange';
-import type {AnswerFacts} from '@valvesaddle/gateway-types';
+import type {AnswerMetadata} from '@valvesaddle/gateway-types';
 import type {OpenWork} from '@valvesaddle/selection';
 import type {AttemptAnswer} from './attempt-answer.ts';
 import type {AttemptEvents} from './attempt-events.ts';
@@ -50,7 +50,7 @@
 	/**
 	An endpoint may say of itself, in any answer, that it wants no requests for some time or that it leaves.
 	*/
-	function applyNotice(status: number, {requestId, retryAfterMs, isLeaving: saysLeaving}: AnswerFacts): void {
+	function applyNotice(status: number, {requestId, retryAfterMs, isLeaving: saysLeaving}: AnswerMetadata): void {
 		// A cooldown ends by itself; that an endpoint leaves is believed only of an answer that is surely its own.
 		const notice = {retryAfterMs, isLeaving: saysLeaving && requestId === facts.requestId};
 		if (retryAfterMs === undefined && !notice.isLeaving) {
--- a/gateway/forwarding/src/forward-request.ts
+++ b/gateway/forwarding/src/forward-request.ts
@@ -1,10 +1,10 @@
-import type {GatewayAccount, RequestFacts, Route} from '@valvesaddle/gateway-types';
+import type {GatewayAccount, RequestMetadata, Route} from '@valvesaddle/gateway-types';
 
 /**
 A caller's request, read in full and allowed by the configuration.
 */
 export type ForwardRequest = {
-	readonly facts: RequestFacts;
+	readonly facts: RequestMetadata;
 	readonly route: Route;
 	/**
 	Version of the configuration that allowed it.
--- a/gateway/forwarding/src/request-record.ts
+++ b/gateway/forwarding/src/request-record.ts
@@ -1,11 +1,11 @@
-import type {AnswerFacts} from '@valvesaddle/gateway-types';
+import type {AnswerMetadata} from '@valvesaddle/gateway-types';
 import type {KnownEndpoint, Selection} from '@valvesaddle/selection';
 import type {AttemptFailure} from './attempt-failure.ts';
 
 /**
 What an endpoint says of itself in an answer.
 */
-type Notice = Pick<AnswerFacts, 'retryAfterMs' | 'isLeaving'>;
+type Notice = Pick<AnswerMetadata, 'retryAfterMs' | 'isLeaving'>;
 
 /**
 Lines and figures of one request.
--- a/gateway/forwarding/test/decisions.test.ts
+++ b/gateway/forwarding/test/decisions.test.ts
@@ -2,7 +2,7 @@
 import {createUsualWaits} from '@valvesaddle/admission';
 import {createLogger} from '@valvesaddle/logger';
 import {createMetrics} from '@valvesaddle/metrics';
-import type {AnswerFacts, Route, RouteKind} from '@valvesaddle/gateway-types';
+import type {AnswerMetadata, Route, RouteKind} from '@valvesaddle/gateway-types';
 import {createAdmitter} from '../src/create-admitter.ts';
 import {canRepeat} from '../src/can-repeat.ts';
 import {classifyAnswer} from '../src/classify-answer.ts';
@@ -14,7 +14,7 @@
 	name: 'r', host: 'h', prefix: '/', kind: 'safe', timeoutMs: 4000, latencyObjectiveMs: 300, priority: 1, targets: [], maximumAttempts: 2, isPublic: false, isResumable: false, pauseObjectiveMs: 0,
 };
 
-const well: AnswerFacts = {
+const well: AnswerMetadata = {
 	requestId: 'a', isSigned: true, isNotRun: false, isEventStream: false, isEncoded: false, isMisdirected: false, retryAfterMs: undefined, isLeaving: false,
 };
 
@@ -39,7 +39,7 @@
 });
 
 test('only an answer that an endpoint vouches for, to this request, is passed on', t => {
-	const cases: ReadonlyArray<readonly [status: number, change: Partial<AnswerFacts>, verdict: string]> = [
+	const cases: ReadonlyArray<readonly [status: number, change: Partial<AnswerMetadata>, verdict: string]> = [
 		[200, {}, 'whole'],
 		[200, {isEventStream: true}, 'stream'],
 		[204, {isSigned: false}, 'untrusted'],
--- a/gateway/selection/src/selector.ts
+++ b/gateway/selection/src/selector.ts
@@ -1,4 +1,4 @@
-import type {AnswerFacts, ServicePool, ServingEndpoint} from '@valvesaddle/gateway-types';
+import type {AnswerMetadata, ServicePool, ServingEndpoint} from '@valvesaddle/gateway-types';
 import type {KnownEndpoint} from './known-endpoint.ts';
 import type {LoadNews} from './load-news.ts';
 import type {OpenWork} from './open-work.ts';
@@ -25,7 +25,7 @@
 	/**
 	Takes what an incarnation said of itself in an answer; no way of choosing an endpoint goes past it.
 	*/
-	readonly applyNotice: (incarnation: string, notice: Pick<AnswerFacts, 'retryAfterMs' | 'isLeaving'>) => void;
+	readonly applyNotice: (incarnation: string, notice: Pick<AnswerMetadata, 'retryAfterMs' | 'isLeaving'>) => void;
 	/**
 	Whether a chosen endpoint still takes requests: it has neither left since nor asked for none.
 	*/
--- a/gateway/types/src/answer-facts.ts
+++ b/gateway/types/src/answer-metadata.ts
@@ -1,7 +1,7 @@
 /**
 What the head of an endpoint's answer says, decoded.
 */
-export type AnswerFacts = {
+export type AnswerMetadata = {
 	/**
 	Request that it answers, as the endpoint echoes it.
 	*/
--- a/gateway/types/src/engine-traits.ts
+++ b/gateway/types/src/engine-capacity.ts
@@ -1,7 +1,7 @@
 /**
 Size of each model engine of a pool.
 */
-export type EngineTraits = {
+export type EngineCapacity = {
 	/**
 	Requests that run at once.
 	*/
--- a/gateway/types/src/request-facts.ts
+++ b/gateway/types/src/request-metadata.ts
@@ -3,7 +3,7 @@
 /**
 What a caller's headers say, decoded.
 */
-export type RequestFacts = {
+export type RequestMetadata = {
 	/**
 	Id of this attempt of the caller; `undefined` when it sent none.
 	*/
--- a/gateway/types/src/send-facts.ts
+++ b/gateway/types/src/send-metadata.ts
@@ -1,7 +1,7 @@
 /**
 What the gateway itself says to an endpoint beside the caller's own headers.
 */
-export type SendFacts = {
+export type SendMetadata = {
 	readonly endpoint: string;
 	readonly account: string | undefined;
 	/**
--- a/gateway/types/src/service-pool.ts
+++ b/gateway/types/src/service-pool.ts
@@ -1,4 +1,4 @@
-import type {EngineTraits} from './engine-traits.ts';
+import type {EngineCapacity} from './engine-capacity.ts';
 import type {PoolScaling} from './pool-scaling.ts';
 
 /**
@@ -9,7 +9,7 @@
 	/**
 	Set for pools of model engines.
 	*/
-	readonly engine: EngineTraits | undefined;
+	readonly engine: EngineCapacity | undefined;
 	/**
 	Set for pools whose replicas are ordered.
 	*/
