--- a/core/types/src/binding.ts
+++ b/core/types/src/binding.ts
@@ -1,5 +1,5 @@
 /**
-Lets a client account use a pool under some classes.
+Allows a client account to use a pool with some request classes.
 */
 export type Binding = {
 	readonly account: string;
--- a/core/types/src/client-account.ts
+++ b/core/types/src/client-account.ts
@@ -1,5 +1,5 @@
 /**
-A client account: who calls, proved by an API key.
+A client account, authenticated by an API key.
 */
 export type ClientAccount = {
 	readonly name: string;
@@ -8,11 +8,11 @@
 	*/
 	readonly keyHashes: readonly string[];
 	/**
-	Share among the accounts of one class.
+	Relative weight among the accounts of one class.
 	*/
 	readonly weight: number;
 	/**
-	Most requests open at once on one node; 0 for no limit.
+	Maximum number of concurrent requests on one node; 0 for no limit.
 	*/
 	readonly maximumOpen: number;
 };
--- a/core/types/src/configuration-record.ts
+++ b/core/types/src/configuration-record.ts
@@ -5,11 +5,11 @@
 */
 export type ConfigurationRecord = {
 	/**
-	Grows by one with every accepted change; 0 means none yet.
+	Increases by one with every accepted change; 0 when there is none.
 	*/
 	readonly revision: number;
 	/**
-	Unique id that the operator gave the change.
+	Unique id of the change, set by the operator.
 	*/
 	readonly changeId: string;
 	readonly author: string;
@@ -18,7 +18,7 @@
 	*/
 	readonly acceptedAt: number;
 	/**
-	Changes accepted lately, newest first, to answer an apply that is sent again.
+	Recently accepted changes, newest first; makes a repeated apply idempotent.
 	*/
 	readonly recentChanges: ReadonlyArray<{readonly changeId: string; readonly revision: number}>;
 	readonly configuration: Configuration;
--- a/core/types/src/configuration.ts
+++ b/core/types/src/configuration.ts
@@ -5,7 +5,7 @@
 import type {RequestClass} from './request-class.ts';
 
 /**
-All that operators decide.
+The configuration that operators apply.
 */
 export type Configuration = {
 	readonly classes: readonly RequestClass[];
--- a/core/types/src/endpoint.ts
+++ b/core/types/src/endpoint.ts
@@ -10,7 +10,7 @@
 	readonly url: string;
 	readonly dataCentre: string;
 	/**
-	Concurrent requests to begin with; the limit is learned from there.
+	Initial concurrency limit; the limit then adapts to the observed time between tokens.
 	*/
 	readonly initialLimit: number;
 	/**
--- a/core/types/src/pool-kind.ts
+++ b/core/types/src/pool-kind.ts
@@ -1,4 +1,4 @@
 /**
-What a pool's endpoints speak: an engine's chat completions, or plain HTTP.
+Protocol of a pool's endpoints: an engine's chat completions, or plain HTTP.
 */
 export type PoolKind = 'engine' | 'service';
--- a/core/types/src/pool.ts
+++ b/core/types/src/pool.ts
@@ -1,18 +1,18 @@
 import type {PoolKind} from './pool-kind.ts';
 
 /**
-Endpoints that can stand in for each other: one model in one region, or one plain service.
+A pool of interchangeable endpoints: one model in one region, or one plain service.
 */
 export type Pool = {
 	readonly name: string;
 	readonly kind: PoolKind;
 	/**
-	Model name that callers use; for a plain service, the first part of its path.
+	Model name that callers use; for a plain service, the first segment of its path.
 	*/
 	readonly model: string;
 	readonly region: string;
 	/**
-	Whether a request may run more than once. Plain services that may not are claimed first.
+	Whether a request may run more than once. If not, a request to a plain service is claimed before it is sent.
 	*/
 	readonly repeatable: boolean;
 	/**
@@ -20,7 +20,7 @@
 	*/
 	readonly interTokenTargetMs: number;
 	/**
-	Dispatchers over which the pool is split; more than one only when it is too large for one.
+	Number of dispatchers that the pool is sharded over; more than 1 only for a pool too large for one.
 	*/
 	readonly dispatchers: number;
 };
--- a/core/types/src/request-class.ts
+++ b/core/types/src/request-class.ts
@@ -1,5 +1,5 @@
 /**
-A class of requests: its latency target and its place among the others.
+A class of requests, with its latency target and scheduling priority.
 */
 export type RequestClass = {
 	readonly name: string;
@@ -8,7 +8,7 @@
 	*/
 	readonly priority: number;
 	/**
-	Urgent classes go strictly before all others, in order of `priority`.
+	Urgent classes have strict priority over all others, in order of `priority`.
 	*/
 	readonly urgent: boolean;
 	/**
@@ -16,15 +16,15 @@
 	*/
 	readonly firstTokenTargetMs: number;
 	/**
-	Longest time in the queue before a final refusal, in milliseconds.
+	Maximum time in the queue before the request is refused, in milliseconds.
 	*/
 	readonly maximumWaitMs: number;
 	/**
-	Share among the classes that are not urgent.
+	Relative weight among the classes that are not urgent.
 	*/
 	readonly weight: number;
 	/**
-	Part of all grants that the class gets while it waits, 0 to 0.3.
+	Guaranteed fraction of all grants while requests of the class wait, 0 to 0.3.
 	*/
 	readonly floor: number;
 };
--- a/core/types/src/vm-role.ts
+++ b/core/types/src/vm-role.ts
@@ -1,4 +1,4 @@
 /**
-What runs on a VM of the platform's list.
+Role of a VM in the platform's VM list.
 */
 export type VmRole = 'router' | 'endpoint';
--- a/core/types/src/vm.ts
+++ b/core/types/src/vm.ts
@@ -1,7 +1,7 @@
 import type {VmRole} from './vm-role.ts';
 
 /**
-One line of the platform's lagging list of VMs.
+An entry of the platform's VM list, which is eventually consistent.
 */
 export type Vm = {
 	readonly id: string;
