--- a/gateway/types/src/answer-metadata.ts
+++ b/gateway/types/src/answer-metadata.ts
@@ -1,22 +1,22 @@
 /**
-What the head of an endpoint's answer says, decoded.
+Decoded status and headers of an endpoint's answer.
 */
 export type AnswerMetadata = {
 	/**
-	Request that it answers, as the endpoint echoes it.
+	Request id echoed by the endpoint.
 	*/
 	readonly requestId: string | undefined;
 	/**
-	Whether the endpoint vouches for the body.
+	Whether the endpoint signed the answer.
 	*/
 	readonly isSigned: boolean;
 	/**
-	Whether the endpoint says that it did not and will not run the request.
+	Whether the endpoint declares that it did not run the request and will not.
 	*/
 	readonly isNotRun: boolean;
 	readonly isEventStream: boolean;
 	/**
-	Whether something on the way has encoded the body.
+	Whether the body has a content encoding other than `identity`.
 	*/
 	readonly isEncoded: boolean;
 	/**
@@ -24,11 +24,11 @@
 	*/
 	readonly isMisdirected: boolean;
 	/**
-	Time for which the endpoint asks for no more requests, in milliseconds; `undefined` when it does not ask.
+	Cooldown that the endpoint requests with `Retry-After`, in milliseconds; `undefined` when there is none.
 	*/
 	readonly retryAfterMs: number | undefined;
 	/**
-	Whether the endpoint says that it is leaving and takes no new requests.
+	Whether the endpoint is draining and accepts no new requests.
 	*/
 	readonly isLeaving: boolean;
 };
--- a/gateway/types/src/caller-limits.ts
+++ b/gateway/types/src/caller-limits.ts
@@ -1,5 +1,5 @@
 /**
-What a caller may send, and how long it may take.
+Limits on the size of a request and on the time for receiving it.
 */
 export type CallerLimits = {
 	readonly headerBytes: number;
--- a/gateway/types/src/cluster-change.ts
+++ b/gateway/types/src/cluster-change.ts
@@ -3,7 +3,7 @@
 import type {ServingEndpoint} from './serving-endpoint.ts';
 
 /**
-One change that the store reports, at its revision.
+A change of the store, with its revision.
 */
 export type ClusterChange =
 	| {readonly kind: 'configuration'; readonly revision: number; readonly configuration: GatewayConfiguration}
@@ -14,15 +14,15 @@
 	| {
 		readonly kind: 'unreadable'; readonly revision: number; readonly key: string; readonly reason: string;
 		/**
-		Whether it is a configuration, so that what is in force now is known to be an older one.
+		Whether it is a configuration; the one in force is then known to be outdated.
 		*/
 		readonly isConfiguration: boolean;
 		/**
-		Id of the endpoint whose entry it would be.
+		Id of the endpoint that the entry belongs to.
 		*/
 		readonly endpoint?: string;
 	}
 	/**
-	A change of an entry that says nothing of the cluster; a watch that brings one has heard the store nevertheless.
+	A change of an entry that is no part of the cluster state; it still shows that the watch receives events.
 	*/
 	| {readonly kind: 'other'; readonly revision: number; readonly key?: string; readonly isRemoved?: boolean};
--- a/gateway/types/src/cluster-changes.ts
+++ b/gateway/types/src/cluster-changes.ts
@@ -1,7 +1,7 @@
 import type {ClusterChange} from './cluster-change.ts';
 
 /**
-What the store holds or what has changed there, up to a revision.
+The entries of the store, or its changes, up to a revision.
 */
 export type ClusterChanges = {
 	readonly revision: number;
--- a/gateway/types/src/cluster-store.ts
+++ b/gateway/types/src/cluster-store.ts
@@ -5,15 +5,15 @@
 
 /**
  Port of the store that holds configuration, endpoints and nodes. Errors: `ERR_VALVESADDLE_KV_UNAVAILABLE` when the
- store refused or could not be reached, `ERR_VALVESADDLE_KV_HISTORY_LOST` when a watch must begin anew with `list`.
+ store refused the call or was unreachable, `ERR_VALVESADDLE_KV_HISTORY_LOST` when a watch must restart from `list`.
  */
 export type ClusterStore = {
 	/**
-	Everything that the store holds now, linearizable.
+	Reads all entries, linearizable.
 	*/
 	readonly list: () => ResultAsync<ClusterChanges, ValvesaddleError>;
 	/**
-	Waits for changes after a revision, for at most `waitMs` milliseconds; ends with an error when `signal` is aborted.
+	Waits up to `waitMs` milliseconds for changes after a revision; fails when `signal` is aborted.
 	*/
 	readonly watch: (after: number, waitMs: number, signal?: AbortSignal) => ResultAsync<ClusterChanges, ValvesaddleError>;
 	/**
@@ -21,11 +21,11 @@
 	*/
 	readonly register: (node: GatewayNode, leaseMs: number) => ResultAsync<string, ValvesaddleError>;
 	/**
-	Renews a lease; `false` when it has ended.
+	Renews a lease; resolves to `false` when it has expired.
 	*/
 	readonly renew: (lease: string) => ResultAsync<boolean, ValvesaddleError>;
 	/**
-	Ends a lease and removes the entry of its node.
+	Revokes a lease and removes its node's entry.
 	*/
 	readonly release: (lease: string) => ResultAsync<void, ValvesaddleError>;
 	readonly close: () => Promise<void>;
--- a/gateway/types/src/engine-capacity.ts
+++ b/gateway/types/src/engine-capacity.ts
@@ -1,5 +1,5 @@
 /**
-Size of each model engine of a pool.
+Capacity of each model engine of a pool.
 */
 export type EngineCapacity = {
 	/**
@@ -7,7 +7,7 @@
 	*/
 	readonly slots: number;
 	/**
-	Tokens that its memory holds.
+	Size of its KV cache, in tokens.
 	*/
 	readonly cacheTokens: number;
 };
--- a/gateway/types/src/gateway-account.ts
+++ b/gateway/types/src/gateway-account.ts
@@ -1,5 +1,5 @@
 /**
-A client account as the gateway knows it.
+A client account in the gateway configuration.
 */
 export type GatewayAccount = {
 	readonly name: string;
@@ -8,7 +8,7 @@
 	*/
 	readonly keyHashes: readonly string[];
 	/**
-	Goes before the priority of a route when set.
+	Orders requests of routes with equal priority, 0 first; `undefined` counts as 0.
 	*/
 	readonly priority: number | undefined;
 };
--- a/gateway/types/src/gateway-configuration.ts
+++ b/gateway/types/src/gateway-configuration.ts
@@ -4,7 +4,7 @@
 import type {ServicePool} from './service-pool.ts';
 
 /**
-The operators' configuration, decoded. A higher version is newer.
+The decoded operator configuration. A higher version is newer.
 */
 export type GatewayConfiguration = {
 	readonly version: number;
@@ -12,7 +12,7 @@
 	readonly pools: readonly ServicePool[];
 	readonly limits: CallerLimits;
 	/**
-	Empty when no keys are asked for.
+	Empty when no API keys are required.
 	*/
 	readonly accounts: readonly GatewayAccount[];
 };
--- a/gateway/types/src/gateway-node.ts
+++ b/gateway/types/src/gateway-node.ts
@@ -1,13 +1,13 @@
 /**
-A gateway node as it registered itself for its peers.
+A gateway node's registration.
 */
 export type GatewayNode = {
 	/**
-	New at each start of the process.
+	Unique for each start of the process.
 	*/
 	readonly id: string;
 	/**
-	`ip:port` for peers.
+	`ip:port` that peers connect to.
 	*/
 	readonly address: string;
 	/**
@@ -16,7 +16,7 @@
 	readonly token: string;
 	readonly dataCentre: string;
 	/**
-	What it can carry for the fleet, as a share of a usual core; the stronger nodes of a data centre carry more.
+	Relative capacity for relaying messages between nodes; 1 is one reference core. Nodes with more are preferred as relays.
 	*/
 	readonly capacity: number;
 };
--- a/gateway/types/src/pool-scaling.ts
+++ b/gateway/types/src/pool-scaling.ts
@@ -1,22 +1,22 @@
 /**
-What an operator allows and pays for the number of a pool's replicas.
+Bounds and prices for scaling the replicas of a pool.
 */
 export type PoolScaling = {
 	/**
-	Replicas of both kinds together in each data centre.
+	Minimum number of replicas in each data centre, on-demand and spot together; `most` is the maximum.
 	*/
 	readonly least: number;
 	readonly most: number;
 	/**
-	Time until a new replica serves, in milliseconds.
+	Startup time of a new replica, in milliseconds.
 	*/
 	readonly bootMs: number;
 	/**
-	Price of a spot replica as a part of that of a usual one; `undefined` when there are none.
+	Price of a spot replica relative to an on-demand one; `undefined` when there are no spot replicas.
 	*/
 	readonly spotPrice: number | undefined;
 	/**
-	Price of a usual replica for a second, by data centre; replicas may run in these.
+	Price per second of an on-demand replica, by data centre; replicas run only in these.
 	*/
 	readonly prices: Readonly<Record<string, number>>;
 };
--- a/gateway/types/src/prompt-part.ts
+++ b/gateway/types/src/prompt-part.ts
@@ -1,5 +1,5 @@
 /**
-A part of a prompt that requests share; parts come in the order of the prompt.
+A part of a prompt that several requests may share; parts are in prompt order.
 */
 export type PromptPart = {
 	readonly id: string;
--- a/gateway/types/src/request-metadata.ts
+++ b/gateway/types/src/request-metadata.ts
@@ -1,26 +1,26 @@
 import type {PromptPart} from './prompt-part.ts';
 
 /**
-What a caller's headers say, decoded.
+Decoded headers of a caller's request.
 */
 export type RequestMetadata = {
 	/**
-	Id of this attempt of the caller; `undefined` when it sent none.
+	Id of the caller's attempt; `undefined` when it sent none.
 	*/
 	readonly requestId: string | undefined;
 	/**
-	Milliseconds that the caller waits; `undefined` when it does not say.
+	The caller's timeout, in milliseconds; `undefined` when it sent none.
 	*/
 	readonly waitMs: number | undefined;
 	readonly apiKey: string | undefined;
 	readonly promptTokens: number;
 	/**
-	Largest number of tokens to generate.
+	Maximum number of tokens to generate.
 	*/
 	readonly outputTokens: number;
 	readonly parts: readonly PromptPart[];
 	/**
-	Event after which a stream goes on; -1 for its beginning.
+	Event after which a stream resumes; -1 for its start.
 	*/
 	readonly lastEventId: number;
 };
--- a/gateway/types/src/route-target.ts
+++ b/gateway/types/src/route-target.ts
@@ -1,5 +1,5 @@
 /**
-A service pool that a route sends to, with its share of the route's traffic.
+A service pool of a route, with the weight of its traffic share.
 */
 export type RouteTarget = {
 	readonly pool: string;
--- a/gateway/types/src/route.ts
+++ b/gateway/types/src/route.ts
@@ -8,37 +8,37 @@
 	readonly name: string;
 	readonly host: string;
 	/**
-	Begins and ends with a slash.
+	Path prefix; starts and ends with a slash.
 	*/
 	readonly prefix: string;
 	readonly kind: RouteKind;
 	/**
-	Longest time that a caller is kept waiting, in milliseconds.
+	Request timeout, in milliseconds; a caller's shorter timeout takes precedence.
 	*/
 	readonly timeoutMs: number;
 	/**
-	Time within which an answer earns its full credit, in milliseconds. For a stream, the time to its first event.
+	Target for the time to the answer, in milliseconds; for a stream, to its first event.
 	*/
 	readonly latencyObjectiveMs: number;
 	/**
-	Rank; 0 is the most urgent.
+	0 is the most urgent.
 	*/
 	readonly priority: number;
 	readonly targets: readonly RouteTarget[];
 	/**
-	Largest number of endpoints to which one request may be sent.
+	Maximum number of endpoints that one request is sent to.
 	*/
 	readonly maximumAttempts: number;
 	/**
-	Whether it needs no API key.
+	Whether requests need no API key.
 	*/
 	readonly isPublic: boolean;
 	/**
-	Whether a stream may be taken up elsewhere after its last event.
+	Whether another endpoint may resume a stream after its last event.
 	*/
 	readonly isResumable: boolean;
 	/**
-	Longest pause between events that is still in time, in milliseconds; 0 when none is set.
+	Target for the longest pause between events, in milliseconds; 0 for none.
 	*/
 	readonly pauseObjectiveMs: number;
 };
--- a/gateway/types/src/send-metadata.ts
+++ b/gateway/types/src/send-metadata.ts
@@ -1,11 +1,11 @@
 /**
-What the gateway itself says to an endpoint beside the caller's own headers.
+Headers that the gateway adds to the caller's for an endpoint.
 */
 export type SendMetadata = {
 	readonly endpoint: string;
 	readonly account: string | undefined;
 	/**
-	Milliseconds that are left.
+	Time until the deadline of the request, in milliseconds.
 	*/
 	readonly remainingMs: number;
 	/**
@@ -13,7 +13,7 @@
 	*/
 	readonly urgency: number | undefined;
 	/**
-	Event after which the stream is taken up; -1 for the caller's own.
+	Event after which the stream resumes; -1 keeps the caller's header.
 	*/
 	readonly lastEventId: number;
 };
--- a/gateway/types/src/service-pool.ts
+++ b/gateway/types/src/service-pool.ts
@@ -2,7 +2,7 @@
 import type {PoolScaling} from './pool-scaling.ts';
 
 /**
-Endpoints that can stand in for each other.
+A pool of interchangeable endpoints.
 */
 export type ServicePool = {
 	readonly name: string;
@@ -11,7 +11,7 @@
 	*/
 	readonly engine: EngineCapacity | undefined;
 	/**
-	Set for pools whose replicas are ordered.
+	Set for pools whose replicas are scaled.
 	*/
 	readonly scaling?: PoolScaling;
 };
--- a/gateway/types/src/serving-endpoint.ts
+++ b/gateway/types/src/serving-endpoint.ts
@@ -1,14 +1,14 @@
 /**
-An endpoint as it registered itself.
+An endpoint's registration.
 */
 export type ServingEndpoint = {
 	/**
-	The same for all incarnations: a process may start again under it.
+	The same for all incarnations: a restarted process keeps it.
 	*/
 	readonly id: string;
 	/**
-	When the process started, in Unix milliseconds: with the id it tells an incarnation from those before. An entry that does not
-	say it stands for one incarnation of all time.
+	Start time of the process, in Unix milliseconds; identifies the incarnation together with the id. Entries without it count as
+	one incarnation.
 	*/
 	readonly born?: number;
 	readonly pool: string;
@@ -18,12 +18,12 @@
 	readonly address: string;
 	readonly dataCentre: string;
 	/**
-	Requests that it runs at once.
+	Maximum number of concurrent requests.
 	*/
 	readonly slots: number;
 	readonly state: 'ready' | 'draining';
 	/**
-	Whether it may be reclaimed, with all of its kind in the data centre.
+	Whether it is a spot replica; all those of a data centre may be reclaimed at once.
 	*/
 	readonly isSpot?: boolean;
 };
