--- a/duties/types/src/duty-answer.ts
+++ b/duties/types/src/duty-answer.ts
@@ -1,10 +1,10 @@
 /**
-What became of a call of a duty.
+Result of a duty call to the platform.
 
-- `accepted`: it is done.
-- `refused`: a higher token was seen, or for replicas: there are none of that kind there at the moment.
-- `busy`: nothing was done; another call may be.
-- `rejected`: the platform finds fault with the call; the same call would be rejected again.
-- `unknown`: there was no answer; it may have been done, or be done later.
+- `accepted`: the call was carried out.
+- `refused`: the platform has seen a higher fencing token, or for replicas: has none of that kind in the data centre now.
+- `busy`: the call was not carried out; it may be retried.
+- `rejected`: the call is invalid; a retry would be rejected again.
+- `unknown`: there was no answer; the call may have been carried out, or may be later.
 */
 export type DutyAnswer = 'accepted' | 'refused' | 'busy' | 'rejected' | 'unknown';
--- a/duties/types/src/duty-kind.ts
+++ b/duties/types/src/duty-kind.ts
@@ -1,4 +1,4 @@
 /**
-Duties that a platform may ask for: reports of usage, and orders of replicas.
+Duties that a platform may enable: usage reports and replica orders.
 */
 export type DutyKind = 'usage' | 'scaling';
--- a/duties/types/src/duty-platform.ts
+++ b/duties/types/src/duty-platform.ts
@@ -4,7 +4,7 @@
 import type {UsageReport} from './usage-report.ts';
 
 /**
-Port of the platform's calls that one node at a time may make.
+Port of the platform calls that only the node holding a duty makes.
 */
 export type DutyPlatform = {
 	readonly reportUsage: (report: UsageReport, proof: DutyProof) => Promise<DutyAnswer>;
--- a/duties/types/src/duty-proof.ts
+++ b/duties/types/src/duty-proof.ts
@@ -1,5 +1,5 @@
 /**
-What a call of a duty carries: who holds the duty, and the fencing token, which rises with each holder.
+Holder of a duty and its fencing token, sent with each duty call. The token increases with each holder.
 */
 export type DutyProof = {
 	readonly holder: string;
--- a/duties/types/src/entry-write.ts
+++ b/duties/types/src/entry-write.ts
@@ -1,19 +1,19 @@
 /**
-A write under a condition.
+A conditional write (compare-and-set).
 */
 export type EntryWrite = {
 	readonly key: string;
 	readonly text: string;
 	/**
-	Revision that the entry must have; 0 when there must be none.
+	Revision that the entry must have; 0 when it must not exist.
 	*/
 	readonly expected: number;
 	/**
-	Lease with which the entry ends; none when it stays.
+	Lease that the entry expires with; without one the entry is permanent.
 	*/
 	readonly lease?: string;
 	/**
-	Entries that are removed with the write.
+	Keys of entries that are removed in the same transaction.
 	*/
 	readonly removed?: readonly string[];
 };
--- a/duties/types/src/replica-order.ts
+++ b/duties/types/src/replica-order.ts
@@ -1,11 +1,11 @@
 /**
-An order to run a number of replicas.
+An order that sets the number of a pool's replicas in a data centre.
 */
 export type ReplicaOrder = {
 	readonly pool: string;
 	readonly dataCentre: string;
 	/**
-	Cheaper replicas that may be reclaimed, all of a data centre at once.
+	Whether it is for spot replicas; all those of a data centre may be reclaimed at once.
 	*/
 	readonly isSpot: boolean;
 	readonly count: number;
--- a/duties/types/src/stored-entry.ts
+++ b/duties/types/src/stored-entry.ts
@@ -1,5 +1,5 @@
 /**
-An entry of the store and the revision of its last change.
+An entry of the store, with the revision of its last change.
 */
 export type StoredEntry = {
 	readonly text: string;
--- a/duties/types/src/usage-report.ts
+++ b/duties/types/src/usage-report.ts
@@ -1,9 +1,9 @@
 /**
-Requests that began to run in a window of time, by client account.
+Number of requests that started in a time window, by client account.
 */
 export type UsageReport = {
 	/**
-	Number of the window: it begins so many window lengths after the start of 1970.
+	Index of the window: its start in Unix time divided by the window length.
 	*/
 	readonly window: number;
 	readonly counts: Readonly<Record<string, number>>;
