--- a/dispatch/messages/src/acquire-defaults.ts
+++ b/dispatch/messages/src/acquire-defaults.ts
@@ -1,7 +1,7 @@
 import type {AcquireRequest} from './acquire-request.ts';
 
 /**
-Values that an acquire request has unless it says otherwise; they are not sent.
+Default values of an acquire request, which are omitted on the wire.
 */
 export const acquireDefaults = {
 	waitedMs: 0,
--- a/dispatch/messages/src/acquire-reply-schema.ts
+++ b/dispatch/messages/src/acquire-reply-schema.ts
@@ -2,7 +2,7 @@
 import {isErrorCode, type ErrorCode} from '@valvesaddle/error';
 
 /**
-Form of the answer to an acquire request on the wire.
+Wire schema of {@link AcquireReply}.
 */
 export const acquireReplySchema = z.discriminatedUnion('kind', [
 	z.object({
--- a/dispatch/messages/src/acquire-reply.ts
+++ b/dispatch/messages/src/acquire-reply.ts
@@ -2,7 +2,7 @@
 import type {Grant} from './grant.ts';
 
 /**
-Answer to an {@link AcquireRequest}.
+Reply to an {@link AcquireRequest}.
 */
 export type AcquireReply =
 	| {readonly kind: 'granted'; readonly grant: Grant}
--- a/dispatch/messages/src/acquire-request-schema.ts
+++ b/dispatch/messages/src/acquire-request-schema.ts
@@ -2,7 +2,7 @@
 import {acquireDefaults} from './acquire-defaults.ts';
 
 /**
-Form of an acquire request on the wire.
+Wire schema of {@link AcquireRequest}.
 */
 export const acquireRequestSchema = z.object({
 	requestId: z.string(),
--- a/dispatch/messages/src/acquire-request.ts
+++ b/dispatch/messages/src/acquire-request.ts
@@ -1,32 +1,32 @@
 import type {TraceCarrier} from '@valvesaddle/tracing';
 
 /**
-Asks the dispatcher of a pool for a grant.
+Requests a grant from a pool's dispatcher.
 */
 export type AcquireRequest = {
 	readonly requestId: string;
 	/**
-	Duty of the dispatcher; see `DutyIndex`.
+	Dispatcher shard; see `DutyIndex`.
 	*/
 	readonly duty: string;
 	readonly account: string;
 	readonly className: string;
 	/**
-	Node that asks.
+	Requesting node.
 	*/
 	readonly node: string;
 	readonly dataCentre: string;
 	/**
-	Time that the request has waited already, elsewhere, in milliseconds.
+	Time since the request arrived at its node, in milliseconds.
 	*/
 	readonly waitedMs: number;
 	/**
-	Whether a dispatcher took the request into its queue before; it is not judged by its predicted wait again.
+	Whether another dispatcher has queued the request; admission by predicted wait is then skipped.
 	*/
 	readonly admitted: boolean;
 	readonly promptTokens: number;
 	/**
-	Tokens delivered already, when the request resumes.
+	Tokens already delivered, for a request that resumes.
 	*/
 	readonly tokensSoFar: number;
 	readonly session: string | undefined;
@@ -36,11 +36,11 @@
 	*/
 	readonly avoid: readonly string[];
 	/**
-	Nodes that the asker could not reach; the first other node in rank order dispatches.
+	Nodes that the requesting node could not reach; the first other node in rank order is the owner.
 	*/
 	readonly skipped: readonly string[];
 	/**
-	Whether the asked node must dispatch even if it takes another for the owner; ends a circle of redirects.
+	Whether the receiving node must dispatch even if it considers another node the owner; breaks redirect loops.
 	*/
 	readonly forced: boolean;
 	readonly trace: TraceCarrier;
--- a/dispatch/messages/src/cancel-message-schema.ts
+++ b/dispatch/messages/src/cancel-message-schema.ts
@@ -1,6 +1,6 @@
 import * as z from 'zod';
 
 /**
-Form of a cancel on the wire.
+Wire schema of {@link CancelMessage}.
 */
 export const cancelMessageSchema = z.object({duty: z.string(), requestId: z.string()});
--- a/dispatch/messages/src/cancel-message.ts
+++ b/dispatch/messages/src/cancel-message.ts
@@ -1,9 +1,9 @@
 /**
-Takes a waiting request back.
+Cancels a waiting request.
 */
 export type CancelMessage = {
 	/**
-	Duty of the dispatcher; see `DutyIndex`.
+	Dispatcher shard; see `DutyIndex`.
 	*/
 	readonly duty: string;
 	readonly requestId: string;
--- a/dispatch/messages/src/dispatch-port.ts
+++ b/dispatch/messages/src/dispatch-port.ts
@@ -6,7 +6,7 @@
 import type {ReleaseReport} from './release-report.ts';
 
 /**
-The dispatcher's methods, on this node or another.
+Port of a dispatcher, local or remote.
 */
 export type DispatchPort = {
 	readonly acquire: (request: AcquireRequest) => Promise<AcquireReply>;
--- a/dispatch/messages/src/open-grant.ts
+++ b/dispatch/messages/src/open-grant.ts
@@ -1,5 +1,5 @@
 /**
-An open grant, as registered with a new dispatcher.
+An open grant that a node registers with a new dispatcher.
 */
 export type OpenGrant = {
 	readonly grantId: string;
--- a/dispatch/messages/src/progress-message-schema.ts
+++ b/dispatch/messages/src/progress-message-schema.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
 
 /**
-Form of progress reports on the wire.
+Wire schema of {@link ProgressMessage}.
 */
 export const progressMessageSchema = z.object({
 	duty: z.string(),
--- a/dispatch/messages/src/progress-message.ts
+++ b/dispatch/messages/src/progress-message.ts
@@ -1,11 +1,11 @@
 import type {ProgressReport} from './progress-report.ts';
 
 /**
-Reports of one node on one pool.
+Progress of the open grants of one node at one dispatcher.
 */
 export type ProgressMessage = {
 	/**
-	Duty of the dispatcher; see `DutyIndex`.
+	Dispatcher shard; see `DutyIndex`.
 	*/
 	readonly duty: string;
 	readonly node: string;
--- a/dispatch/messages/src/progress-report.ts
+++ b/dispatch/messages/src/progress-report.ts
@@ -1,5 +1,5 @@
 /**
-Tokens that came under an open grant; also renews it.
+Tokens received under an open grant; also renews the grant.
 */
 export type ProgressReport = {
 	readonly grantId: string;
--- a/dispatch/messages/src/register-request-schema.ts
+++ b/dispatch/messages/src/register-request-schema.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
 
 /**
-Form of a registration on the wire.
+Wire schema of {@link RegisterRequest}.
 */
 export const registerRequestSchema = z.object({
 	duty: z.string(),
--- a/dispatch/messages/src/register-request.ts
+++ b/dispatch/messages/src/register-request.ts
@@ -1,11 +1,11 @@
 import type {OpenGrant} from './open-grant.ts';
 
 /**
-Tells a new dispatcher of the grants that a node holds.
+Registers the open grants of a node with a new dispatcher.
 */
 export type RegisterRequest = {
 	/**
-	Duty of the dispatcher; see `DutyIndex`.
+	Dispatcher shard; see `DutyIndex`.
 	*/
 	readonly duty: string;
 	readonly node: string;
--- a/dispatch/messages/src/release-outcome.ts
+++ b/dispatch/messages/src/release-outcome.ts
@@ -1,4 +1,4 @@
 /**
-How a grant ended, as far as it tells about the endpoint.
+Outcome of a grant, used to track the endpoint's health.
 */
 export type ReleaseOutcome = 'complete' | 'failed' | 'not-run' | 'cancelled';
--- a/dispatch/messages/src/release-report-schema.ts
+++ b/dispatch/messages/src/release-report-schema.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
 
 /**
-Form of a release on the wire.
+Wire schema of {@link ReleaseReport}.
 */
 export const releaseReportSchema = z.object({
 	grantId: z.string(),
--- a/dispatch/messages/src/release-report.ts
+++ b/dispatch/messages/src/release-report.ts
@@ -1,23 +1,23 @@
 import type {ReleaseOutcome} from './release-outcome.ts';
 
 /**
-Gives a grant back and says what came of it.
+Releases a grant and reports its outcome.
 */
 export type ReleaseReport = {
 	readonly grantId: string;
 	/**
-	Duty of the dispatcher; see `DutyIndex`.
+	Dispatcher shard; see `DutyIndex`.
 	*/
 	readonly duty: string;
 	readonly outcome: ReleaseOutcome;
 	readonly tokens: number;
 	/**
-	`undefined` when no token came.
+	`undefined` when no token was received.
 	*/
 	readonly firstTokenMs: number | undefined;
 	readonly interTokenMs: number | undefined;
 	/**
-	Time for which the endpoint asked for no more requests when it refused this one.
+	Cooldown that the endpoint requested when it refused the request, in milliseconds.
 	*/
 	readonly retryAfterMs?: number | undefined;
 };
--- a/dispatch/messages/test/schemas.test.ts
+++ b/dispatch/messages/test/schemas.test.ts
@@ -15,13 +15,13 @@
 };
 
 for (const [name, schema] of Object.entries(schemas)) {
-	test(`anything that reaches ${name} is either read or rejected, never thrown on`, t => {
+	test(`${name} accepts or rejects any input without throwing`, t => {
 		fc.assert(fc.property(fc.anything(), input => typeof schema.safeParse(input).success === 'boolean'));
 		t.end();
 	});
 }
 
-test('an acquire request comes over the wire as it was, whatever is left out on the way', t => {
+test('an acquire request survives encoding with its default values omitted', t => {
 	const request = fc.record({
 		requestId: fc.string(), duty: fc.string(), account: fc.string(), className: fc.string(), node: fc.string(), dataCentre: fc.string(),
 		waitedMs: fc.nat(), admitted: fc.boolean(), promptTokens: fc.nat(), tokensSoFar: fc.nat(), session: fc.option(fc.string(), {nil: undefined}),
