--- /dev/null
+++ b/gateway/types/src/answer-metadata.ts
@@ -0,0 +1,34 @@
+/**
+Decoded status and headers of an endpoint's answer.
+*/
+export type AnswerMetadata = {
+	/**
+	Request id echoed by the endpoint.
+	*/
+	readonly requestId: string | undefined;
+	/**
+	Whether the endpoint signed the answer.
+	*/
+	readonly isSigned: boolean;
+	/**
+	Whether the endpoint declares that it did not run the request and will not.
+	*/
+	readonly isNotRun: boolean;
+	readonly isEventStream: boolean;
+	/**
+	Whether the body has a content encoding other than `identity`.
+	*/
+	readonly isEncoded: boolean;
+	/**
+	Whether another instance answers at the address.
+	*/
+	readonly isMisdirected: boolean;
+	/**
+	Cooldown that the endpoint requests with `Retry-After`, in milliseconds; `undefined` when there is none.
+	*/
+	readonly retryAfterMs: number | undefined;
+	/**
+	Whether the endpoint is draining and accepts no new requests.
+	*/
+	readonly isLeaving: boolean;
+};
--- a/gateway/types/src/engine-traits.ts
+++ b/gateway/types/src/engine-capacity.ts
@@ -1,13 +1,13 @@
 /**
-Size of each model engine of a pool.
+Capacity of each model engine of a pool.
 */
-export type EngineTraits = {
+export type EngineCapacity = {
 	/**
 	Requests that run at once.
 	*/
 	readonly slots: number;
 	/**
-	Tokens that its memory holds.
+	Size of its KV cache, in tokens.
 	*/
 	readonly cacheTokens: number;
 };
--- a/gateway/types/src/service-pool.ts
+++ b/gateway/types/src/service-pool.ts
@@ -1,17 +1,17 @@
-import type {EngineTraits} from './engine-traits.ts';
+import type {EngineCapacity} from './engine-capacity.ts';
 import type {PoolScaling} from './pool-scaling.ts';
 
 /**
-Endpoints that can stand in for each other.
+A pool of interchangeable endpoints.
 */
 export type ServicePool = {
 	readonly name: string;
 	/**
 	Set for pools of model engines.
 	*/
-	readonly engine: EngineTraits | undefined;
+	readonly engine: EngineCapacity | undefined;
 	/**
-	Set for pools whose replicas are ordered.
+	Set for pools whose replicas are scaled.
 	*/
 	readonly scaling?: PoolScaling;
 };
