--- a/bench/experiment/src/run-variant.ts
+++ b/bench/experiment/src/run-variant.ts
@@ -48,9 +48,9 @@
 			load: site,
 			seed: index + 1,
 			selection: {
-				harmWeight: variant.harm_weight, riskWeight: variant.risk_weight, rereadMsPerToken: variant.reread_ms_per_token, reuseMs, prefillTokensPerMs,
+				interferenceWeight: variant.harm_weight, riskWeight: variant.risk_weight, rereadMsPerToken: variant.reread_ms_per_token, reuseMs, prefillTokensPerMs,
 			},
-			admission: {lateFactor: variant.late_factor, waitFactor: variant.wait_factor, returnFactor: variant.return_factor},
+			admission: {lateFactor: variant.late_factor, waitFactor: variant.wait_factor, retryAfterFactor: variant.return_factor},
 		});
 		onSeed(index + 1);
 		return listFigures(report);
--- a/emulator/beliefs/src/create-emulated-news.ts
+++ b/emulator/beliefs/src/create-emulated-news.ts
@@ -1,4 +1,4 @@
-import type {EndpointLoad, LoadNews, Placement} from '@valvesaddle/selection';
+import type {EndpointLoad, LoadUpdate, Placement} from '@valvesaddle/selection';
 import type {EmulatedWork} from './emulated-work.ts';
 
 type EmulatedNewsOptions = {
@@ -24,7 +24,7 @@
  const takeNews = createEmulatedNews({work: {loads: 4, placements: 1}, endpoints: 60, random});
  takeNews().loads.length; // 4
  */
-export function createEmulatedNews({work, endpoints, random}: EmulatedNewsOptions): () => LoadNews {
+export function createEmulatedNews({work, endpoints, random}: EmulatedNewsOptions): () => LoadUpdate {
 	const draw = (most: number): number => Math.floor(most * random());
 
 	function drawEndpoint(): string {
@@ -34,12 +34,12 @@
 	function drawLoad(): EndpointLoad {
 		return {
 			open: draw(mostOpen),
-			unread: Array.from({length: ranks}, (_value, rank) => rank % 3 === 0 ? draw(mostTokens) : 0),
+			pendingPrefill: Array.from({length: ranks}, (_value, rank) => rank % 3 === 0 ? draw(mostTokens) : 0),
 			sensitivity: mostOpen * random(),
-			witnesses: 1,
-			silent: 0,
-			readTokens: mostTokens * random(),
-			readMs: mostReadMs * random(),
+			observers: 1,
+			stalledObservers: 0,
+			prefilledTokens: mostTokens * random(),
+			prefillMs: mostReadMs * random(),
 		};
 	}
 
--- a/emulator/beliefs/src/create-spreading-node.ts
+++ b/emulator/beliefs/src/create-spreading-node.ts
@@ -4,7 +4,7 @@
 import type {Logger} from '@valvesaddle/logger';
 import {createMetrics} from '@valvesaddle/metrics';
 import type {PeerHandlers} from '@valvesaddle/network';
-import {createSelector, type LoadNews} from '@valvesaddle/selection';
+import {createSelector, type LoadUpdate} from '@valvesaddle/selection';
 import type {GatewaySettings} from '@valvesaddle/settings';
 import {createEmulatedNetwork} from './create-emulated-network.ts';
 import type {LinkHub} from './link-hub.ts';
@@ -19,7 +19,7 @@
 	/**
 	What the node has to tell of its work; nothing where it is not given.
 	*/
-	readonly takeNews?: () => LoadNews;
+	readonly takeNews?: () => LoadUpdate;
 	/**
 	Whether the node leaves calls for its whole state without an answer now.
 	*/
@@ -63,14 +63,14 @@
 	});
 	// Nothing is chosen here.
 	const selector = createSelector({
-		harmWeight: 0, riskWeight: 0, reuseMs: 1, rereadMsPerToken: 0, prefillTokensPerMs: 1,
+		interferenceWeight: 0, riskWeight: 0, reuseMs: 1, rereadMsPerToken: 0, prefillTokensPerMs: 1,
 	});
 	const {sync, handlers} = createPeerSync({
 		self,
 		network,
 		view,
 		follower,
-		selector: takeNews === undefined ? selector : {...selector, takeNews},
+		selector: takeNews === undefined ? selector : {...selector, takeLoadUpdate: takeNews},
 		newsMs: settings.peers.news_ms,
 		hasOpenRequests: () => true,
 		heartbeatMs: settings.peers.heartbeat_ms,
--- a/emulator/fleet/src/create-emulated-node.ts
+++ b/emulator/fleet/src/create-emulated-node.ts
@@ -1,4 +1,4 @@
-import {createUsualWaits, type AdmissionSettings} from '@valvesaddle/admission';
+import {createWaitBaselines, type AdmissionSettings} from '@valvesaddle/admission';
 import type {ExchangeClient} from '@valvesaddle/exchange';
 import {createForwarder} from '@valvesaddle/forwarding';
 import type {Logger} from '@valvesaddle/logger';
@@ -68,7 +68,7 @@
 	};
 
 	const selector = createSelector({
-		...selection, hasConnection: address => exchanges.hasIdle(address), onPlaced() {
+		...selection, hasConnection: address => exchanges.hasIdle(address), onPlacement() {
 			handlePlaced();
 		},
 	});
@@ -89,7 +89,7 @@
 			handlePlaced = handle;
 		},
 		forwarder: createForwarder({
-			wire: emulatorWire, selector, exchanges, budget, waits: createUsualWaits(), admission, logger, metrics,
+			wire: emulatorWire, selector, exchanges, budget, waits: createWaitBaselines(), admission, logger, metrics,
 		}),
 	};
 }
--- a/emulator/fleet/test/emulation.test.ts
+++ b/emulator/fleet/test/emulation.test.ts
@@ -3,9 +3,9 @@
 import {runEmulation} from '@valvesaddle/emulator-fleet';
 
 const selection = {
-	harmWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
+	interferenceWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
 };
-const admission = {lateFactor: 1.3, returnFactor: 1.5, waitFactor: 0.5};
+const admission = {lateFactor: 1.3, retryAfterFactor: 1.5, waitFactor: 0.5};
 const load = createDraftsBesideQueries();
 
 test('the same load, settings and seed give the same report, another seed another one', t => {
@@ -38,7 +38,7 @@
 		load, seed: 2, selection, admission,
 	});
 	const {classes: {queries: uncounted}} = runEmulation({
-		load, seed: 2, selection: {...selection, harmWeight: 0, riskWeight: 0}, admission,
+		load, seed: 2, selection: {...selection, interferenceWeight: 0, riskWeight: 0}, admission,
 	});
 	t.ok(counted!.pauseLate < 0.15 * counted!.asked, `${counted!.pauseLate} of ${counted!.asked}`);
 	t.ok(uncounted!.pauseLate > 0.3 * uncounted!.asked, `${uncounted!.pauseLate} of ${uncounted!.asked}`);
--- a/emulator/fleet/test/large-fleet.test.ts
+++ b/emulator/fleet/test/large-fleet.test.ts
@@ -8,9 +8,9 @@
 import {runEmulation, type EmulationLoad} from '@valvesaddle/emulator-fleet';
 
 const selection = {
-	harmWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
+	interferenceWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
 };
-const admission = {lateFactor: 1.3, returnFactor: 1.5, waitFactor: 0.5};
+const admission = {lateFactor: 1.3, retryAfterFactor: 1.5, waitFactor: 0.5};
 /**
 Part of the large fleet that is run here, and of its subjects, so that they come again as often.
 */
--- a/gateway/admission/src/admission-question.ts
+++ b/gateway/admission/src/admission-input.ts
@@ -1,7 +1,7 @@
 /**
 What the admission of a request depends on. Times are in milliseconds.
 */
-export type AdmissionQuestion = {
+export type AdmissionInput = {
 	/**
 	Predicted time to the first token at the best endpoint, ahead of what ranks lower.
 	*/
@@ -21,7 +21,7 @@
 	/**
 	Whether the caller has come back after an earlier try.
 	*/
-	readonly isRepeat: boolean;
+	readonly isRetry: boolean;
 	/**
 	Number from 0 up to 1 that spreads the times to come back.
 	*/
--- a/gateway/admission/src/admission-settings.ts
+++ b/gateway/admission/src/admission-settings.ts
@@ -14,5 +14,5 @@
 	/**
 	Time to come back, in predicted times to the first token.
 	*/
-	readonly returnFactor: number;
+	readonly retryAfterFactor: number;
 };
--- a/gateway/admission/src/create-usual-waits.ts
+++ b/gateway/admission/src/create-wait-baselines.ts
@@ -1,4 +1,4 @@
-import type {UsualWaits} from './usual-waits.ts';
+import type {WaitBaselines} from './wait-baselines.ts';
 
 /**
 Weight of a wait that is longer than the estimate, and of one that is not: the estimate keeps near the longest tenth, and
@@ -21,7 +21,7 @@
  waits.record('drafts', 6000); // 0
  waits.record('drafts', 5000); // 1000
  */
-export function createUsualWaits(): UsualWaits {
+export function createWaitBaselines(): WaitBaselines {
 	const usual = new Map<string, number>();
 
 	return {
--- a/gateway/admission/src/decide-admission.ts
+++ b/gateway/admission/src/decide-admission.ts
@@ -1,5 +1,5 @@
 import type {Admission} from './admission.ts';
-import type {AdmissionQuestion} from './admission-question.ts';
+import type {AdmissionInput} from './admission-input.ts';
 import type {AdmissionSettings} from './admission-settings.ts';
 
 /**
@@ -18,7 +18,7 @@
  @example
  decideAdmission({predictedMs: 900, readMs: 50, objectiveMs: 600, elapsedMs: 0, isRepeat: false, draw: 0.5}, {lateFactor: 1.3, waitFactor: 0.5, returnFactor: 1}).kind; // 'refuse'
  */
-export function decideAdmission({predictedMs, readMs, objectiveMs, elapsedMs, isRepeat, draw}: AdmissionQuestion, {lateFactor, waitFactor, returnFactor}: AdmissionSettings): Admission {
+export function decideAdmission({predictedMs, readMs, objectiveMs, elapsedMs, isRetry: isRepeat, draw}: AdmissionInput, {lateFactor, waitFactor, retryAfterFactor: returnFactor}: AdmissionSettings): Admission {
 	if (predictedMs <= lateFactor * (objectiveMs - elapsedMs)) {
 		return {kind: 'send'};
 	}
--- a/gateway/admission/src/index.ts
+++ b/gateway/admission/src/index.ts
@@ -1,6 +1,6 @@
 export type {Admission} from './admission.ts';
-export type {AdmissionQuestion} from './admission-question.ts';
+export type {AdmissionInput} from './admission-input.ts';
 export type {AdmissionSettings} from './admission-settings.ts';
-export {createUsualWaits} from './create-usual-waits.ts';
+export {createWaitBaselines} from './create-wait-baselines.ts';
 export {decideAdmission} from './decide-admission.ts';
-export type {UsualWaits} from './usual-waits.ts';
+export type {WaitBaselines} from './wait-baselines.ts';
--- a/gateway/admission/test/admission.test.ts
+++ b/gateway/admission/test/admission.test.ts
@@ -1,20 +1,20 @@
 import {test} from 'tap';
-import {createUsualWaits, decideAdmission, type AdmissionQuestion} from '@valvesaddle/admission';
+import {createWaitBaselines, decideAdmission, type AdmissionInput} from '@valvesaddle/admission';
 
-const settings = {lateFactor: 1.3, waitFactor: 0.5, returnFactor: 1.5};
-const question: AdmissionQuestion = {
-	predictedMs: 400, readMs: 50, objectiveMs: 600, elapsedMs: 0, isRepeat: false, draw: 0.5,
+const settings = {lateFactor: 1.3, waitFactor: 0.5, retryAfterFactor: 1.5};
+const question: AdmissionInput = {
+	predictedMs: 400, readMs: 50, objectiveMs: 600, elapsedMs: 0, isRetry: false, draw: 0.5,
 };
 
 test('what is predicted decides: in time, behind the others, or back later', t => {
-	const cases: ReadonlyArray<readonly [change: Partial<AdmissionQuestion>, kind: string]> = [
+	const cases: ReadonlyArray<readonly [change: Partial<AdmissionInput>, kind: string]> = [
 		[{}, 'send'],
 		[{predictedMs: 780}, 'send'],
 		[{predictedMs: 781}, 'refuse'],
 		[{predictedMs: 400, elapsedMs: 300}, 'refuse'],
-		[{predictedMs: 400, elapsedMs: 300, isRepeat: true}, 'send-late'],
-		[{predictedMs: 100, elapsedMs: 300, isRepeat: true}, 'send'],
-		[{predictedMs: 60_000, isRepeat: true}, 'send-late'],
+		[{predictedMs: 400, elapsedMs: 300, isRetry: true}, 'send-late'],
+		[{predictedMs: 100, elapsedMs: 300, isRetry: true}, 'send'],
+		[{predictedMs: 60_000, isRetry: true}, 'send-late'],
 		[{predictedMs: 60, elapsedMs: 5000}, 'send-late'],
 	];
 	for (const [change, kind] of cases) {
@@ -43,7 +43,7 @@
 });
 
 test('a caller that comes back is told by what is left of its wait', t => {
-	const waits = createUsualWaits();
+	const waits = createWaitBaselines();
 	for (let request = 0; request < 20; request++) {
 		t.equal(waits.record('drafts', 6000 - (request % 3 * 5)), 0);
 	}
@@ -55,7 +55,7 @@
 });
 
 test('neither one caller with a long wait nor many repeats move the usual wait far', t => {
-	const waits = createUsualWaits();
+	const waits = createWaitBaselines();
 	for (let request = 0; request < 50; request++) {
 		waits.record('drafts', 6000);
 		waits.record('drafts', 3000);
--- a/gateway/forwarding/src/attempt-options.ts
+++ b/gateway/forwarding/src/attempt-options.ts
@@ -1,4 +1,4 @@
-import type {Selection, SelectionQuestion} from '@valvesaddle/selection';
+import type {Selection, SelectionCriteria} from '@valvesaddle/selection';
 import type {AnswerWriter} from './answer-writer.ts';
 import type {ForwardRequest} from './forward-request.ts';
 import type {ForwarderOptions} from './forwarder-options.ts';
@@ -10,7 +10,7 @@
 export type AttemptOptions = {
 	readonly tools: Pick<ForwarderOptions, 'selector' | 'exchanges' | 'wire'>;
 	readonly request: ForwardRequest;
-	readonly question: SelectionQuestion;
+	readonly question: SelectionCriteria;
 	/**
 	The endpoint that was chosen.
 	*/
--- a/gateway/forwarding/src/create-admitter.ts
+++ b/gateway/forwarding/src/create-admitter.ts
@@ -27,7 +27,7 @@
 
 			const elapsedMs = spentMs + performance.now() - request.arrivedAt;
 			const admission = decideAdmission({
-				predictedMs: costMs, readMs, objectiveMs: route.latencyObjectiveMs, elapsedMs, isRepeat: spentMs > 0, draw: Math.random(),
+				predictedMs: costMs, readMs, objectiveMs: route.latencyObjectiveMs, elapsedMs, isRetry: spentMs > 0, draw: Math.random(),
 			}, options.admission);
 			if (admission.kind !== 'send') {
 				options.metrics.increment('gateway.admission', 1, {kind: admission.kind});
--- a/gateway/forwarding/src/create-attempt.ts
+++ b/gateway/forwarding/src/create-attempt.ts
@@ -1,6 +1,6 @@
 import type {Exchange, Flow} from '@valvesaddle/exchange';
 import type {AnswerFacts} from '@valvesaddle/gateway-types';
-import type {OpenWork} from '@valvesaddle/selection';
+import type {OpenRequest} from '@valvesaddle/selection';
 import type {AttemptAnswer} from './attempt-answer.ts';
 import type {AttemptEvents} from './attempt-events.ts';
 import type {AttemptOptions} from './attempt-options.ts';
@@ -27,7 +27,7 @@
 	let answer: AttemptAnswer | undefined;
 	let sentAt: number | undefined;
 
-	work.onSilent(() => {
+	work.onStalled(() => {
 		events.onLost('silent to all nodes');
 	});
 	work.onEnded(() => {
@@ -114,7 +114,7 @@
 	/**
 	A request that was held back since its endpoint takes none says nothing against the endpoint.
 	*/
-	function classifyUnsent(): Parameters<OpenWork['close']>[0] {
+	function classifyUnsent(): Parameters<OpenRequest['close']>[0] {
 		return selector.canTake(endpoint) ? 'gone' : 'cancelled';
 	}
 
@@ -151,7 +151,7 @@
 			}
 		},
 		onData(chunk) {
-			work.markPiece();
+			work.markChunk();
 			record.recordPiece();
 			if (answer?.verdict === 'stream') {
 				events.onBegun(performance.now());
--- a/gateway/forwarding/src/create-forward-task.ts
+++ b/gateway/forwarding/src/create-forward-task.ts
@@ -1,5 +1,5 @@
 import type {ValvesaddleError} from '@valvesaddle/error';
-import type {Selection, SelectionQuestion} from '@valvesaddle/selection';
+import type {Selection, SelectionCriteria} from '@valvesaddle/selection';
 import type {AttemptAnswer} from './attempt-answer.ts';
 import type {AttemptEvents} from './attempt-events.ts';
 import type {AttemptFailure} from './attempt-failure.ts';
@@ -39,7 +39,7 @@
 	const record = createRequestRecord(options, request);
 	const refusals = createRefusals(selector, request.pool);
 	const tried = new Set<string>();
-	const question: SelectionQuestion = {
+	const question: SelectionCriteria = {
 		pool: request.pool,
 		objectiveMs: route.latencyObjectiveMs,
 		pauseObjectiveMs: route.pauseObjectiveMs,
--- a/gateway/forwarding/src/forwarder-options.ts
+++ b/gateway/forwarding/src/forwarder-options.ts
@@ -1,4 +1,4 @@
-import type {AdmissionSettings, UsualWaits} from '@valvesaddle/admission';
+import type {AdmissionSettings, WaitBaselines} from '@valvesaddle/admission';
 import type {ExchangeClient} from '@valvesaddle/exchange';
 import type {WireFormat} from '@valvesaddle/gateway-types';
 import type {Logger} from '@valvesaddle/logger';
@@ -14,7 +14,7 @@
 	readonly selector: Selector;
 	readonly exchanges: ExchangeClient;
 	readonly budget: RetryBudget;
-	readonly waits: UsualWaits;
+	readonly waits: WaitBaselines;
 	/**
 	Told once of each request that began to run: when, in milliseconds on the steady clock, and for which client account.
 	*/
--- a/gateway/forwarding/test/decisions.test.ts
+++ b/gateway/forwarding/test/decisions.test.ts
@@ -1,5 +1,5 @@
 import {test} from 'tap';
-import {createUsualWaits} from '@valvesaddle/admission';
+import {createWaitBaselines} from '@valvesaddle/admission';
 import {createLogger} from '@valvesaddle/logger';
 import {createMetrics} from '@valvesaddle/metrics';
 import type {AnswerFacts, Route, RouteKind} from '@valvesaddle/gateway-types';
@@ -98,8 +98,8 @@
 
 test('what an endpoint lost goes on at its own rank, what was not sent yet is refused when it is late', t => {
 	const options = {
-		waits: createUsualWaits(),
-		admission: {lateFactor: 1.3, waitFactor: 0.5, returnFactor: 1.5},
+		waits: createWaitBaselines(),
+		admission: {lateFactor: 1.3, waitFactor: 0.5, retryAfterFactor: 1.5},
 		logger: createLogger({node: 'n', level: 'silent'}),
 		metrics: createMetrics(),
 	};
--- a/gateway/news/src/create-news-relay.ts
+++ b/gateway/news/src/create-news-relay.ts
@@ -3,7 +3,7 @@
 	noLoad,
 	removeLoad,
 	type EndpointLoad,
-	type LoadNews,
+	type LoadUpdate,
 	type Placement,
 } from '@valvesaddle/selection';
 import type {NewsRelay} from './news-relay.ts';
@@ -152,7 +152,7 @@
 	}
 
 	return {
-		addOwn(news: LoadNews) {
+		addOwn(news: LoadUpdate) {
 			addNews({origin: node, nodes: 1, ...news}, true);
 		},
 		addMember(news) {
--- a/gateway/news/src/news-relay.ts
+++ b/gateway/news/src/news-relay.ts
@@ -1,4 +1,4 @@
-import type {LoadNews} from '@valvesaddle/selection';
+import type {LoadUpdate} from '@valvesaddle/selection';
 import type {OriginNews} from './origin-news.ts';
 
 /**
@@ -6,7 +6,7 @@
 endpoint once, so that one that can take little is told less often, and never of what has been overtaken.
 */
 export type NewsRelay = {
-	readonly addOwn: (news: LoadNews) => void;
+	readonly addOwn: (news: LoadUpdate) => void;
 	/**
 	Takes in news of a node that is linked to this one alone.
 	*/
--- a/gateway/news/src/origin-news.ts
+++ b/gateway/news/src/origin-news.ts
@@ -1,9 +1,9 @@
-import type {LoadNews} from '@valvesaddle/selection';
+import type {LoadUpdate} from '@valvesaddle/selection';
 
 /**
 News of the work of one node, or the sum of several that the node which tells it speaks for.
 */
-export type OriginNews = LoadNews & {
+export type OriginNews = LoadUpdate & {
 	readonly origin: string;
 	/**
 	Nodes whose work it stands for.
--- a/gateway/news/test/news-relay.test.ts
+++ b/gateway/news/test/news-relay.test.ts
@@ -4,7 +4,7 @@
 
 function toLoad(open: number): EndpointLoad {
 	return {
-		open, unread: [0, open * 100], sensitivity: open / 4, witnesses: 0, silent: 0, readTokens: open * 10, readMs: open,
+		open, pendingPrefill: [0, open * 100], sensitivity: open / 4, observers: 0, stalledObservers: 0, prefilledTokens: open * 10, prefillMs: open,
 	};
 }
 
--- a/gateway/selection/src/add-loads.ts
+++ b/gateway/selection/src/add-loads.ts
@@ -9,12 +9,12 @@
 export function addLoads(a: EndpointLoad, b: EndpointLoad): EndpointLoad {
 	return {
 		open: Math.max(0, a.open + b.open),
-		unread: addRanks(a.unread, b.unread),
+		pendingPrefill: addRanks(a.pendingPrefill, b.pendingPrefill),
 		sensitivity: Math.max(0, a.sensitivity + b.sensitivity),
-		witnesses: a.witnesses + b.witnesses,
-		silent: a.silent + b.silent,
-		readTokens: a.readTokens + b.readTokens,
-		readMs: a.readMs + b.readMs,
+		observers: a.observers + b.observers,
+		stalledObservers: a.stalledObservers + b.stalledObservers,
+		prefilledTokens: a.prefilledTokens + b.prefilledTokens,
+		prefillMs: a.prefillMs + b.prefillMs,
 	};
 }
 
--- a/gateway/selection/src/count-unread.ts
+++ b/gateway/selection/src/count-unread.ts
@@ -6,7 +6,7 @@
  @example
  countUnread({...noLoad, unread: [100, 0, 2000]}); // 2100
  */
-export function countUnread({unread}: Pick<EndpointLoad, 'unread'>): number {
+export function countUnread({pendingPrefill: unread}: Pick<EndpointLoad, 'pendingPrefill'>): number {
 	let sum = 0;
 	for (const tokens of unread) {
 		sum += tokens;
--- a/gateway/selection/src/create-load-table.ts
+++ b/gateway/selection/src/create-load-table.ts
@@ -44,12 +44,12 @@
 
 		return {
 			open: sum.open * unseenFactor,
-			unread: unseenFactor === 1 ? sum.unread : sum.unread.map(tokens => tokens * unseenFactor),
+			pendingPrefill: unseenFactor === 1 ? sum.pendingPrefill : sum.pendingPrefill.map(tokens => tokens * unseenFactor),
 			sensitivity: sum.sensitivity * unseenFactor,
-			witnesses: sum.witnesses,
-			silent: sum.silent,
-			readTokens: sum.readTokens,
-			readMs: sum.readMs,
+			observers: sum.observers,
+			stalledObservers: sum.stalledObservers,
+			prefilledTokens: sum.prefilledTokens,
+			prefillMs: sum.prefillMs,
 		};
 	}
 
@@ -67,27 +67,27 @@
 		recordReading(endpoint, tokens, milliseconds) {
 			const before = own.get(endpoint) ?? noLoad;
 			setOwn(endpoint, {
-				...before, readTokens: (before.readTokens * keptPart) + tokens, readMs: (before.readMs * keptPart) + milliseconds,
+				...before, prefilledTokens: (before.prefilledTokens * keptPart) + tokens, prefillMs: (before.prefillMs * keptPart) + milliseconds,
 			});
 		},
 		setSilence(endpoint, witnesses, silent) {
 			const before = own.get(endpoint) ?? noLoad;
-			if (before.witnesses === witnesses && before.silent === silent) {
+			if (before.observers === witnesses && before.stalledObservers === silent) {
 				return;
 			}
 
-			setOwn(endpoint, {...before, witnesses, silent});
+			setOwn(endpoint, {...before, observers: witnesses, stalledObservers: silent});
 			suspects.add(endpoint);
 		},
 		listSilent() {
 			for (const endpoint of suspects) {
-				if (get(endpoint).silent === 0) {
+				if (get(endpoint).stalledObservers === 0) {
 					suspects.delete(endpoint);
 				}
 			}
 
 			return [...suspects].filter(endpoint => {
-				const {witnesses, silent} = get(endpoint);
+				const {observers: witnesses, stalledObservers: silent} = get(endpoint);
 				return silent >= witnesses;
 			});
 		},
@@ -96,7 +96,7 @@
 			loads.set(endpoint, load);
 			peers.set(node, loads);
 			sums.delete(endpoint);
-			if (load.silent > 0) {
+			if (load.stalledObservers > 0) {
 				suspects.add(endpoint);
 			}
 		},
--- a/gateway/selection/src/create-pace-model.ts
+++ b/gateway/selection/src/create-pace-model.ts
@@ -24,8 +24,8 @@
 	return {
 		update(loads) {
 			const paces = loads.entries()
-				.filter(([, {readTokens, readMs}]) => readTokens >= leastTokens && readMs > 0)
-				.map(([id, {readTokens, readMs}]) => [id, readTokens / readMs] as const)
+				.filter(([, {prefilledTokens: readTokens, prefillMs: readMs}]) => readTokens >= leastTokens && readMs > 0)
+				.map(([id, {prefilledTokens: readTokens, prefillMs: readMs}]) => [id, readTokens / readMs] as const)
 				.toArray();
 			const median = findMedian(paces.map(([, pace]) => pace));
 			factors = new Map(paces.map(([id, pace]) => [id, pace / median]));
--- a/gateway/selection/src/create-prompt-chooser.ts
+++ b/gateway/selection/src/create-prompt-chooser.ts
@@ -13,7 +13,7 @@
 import type {PromptChooser} from './prompt-chooser.ts';
 import type {Rating} from './rating.ts';
 import type {ReadingRate} from './reading-rate.ts';
-import type {SelectionQuestion} from './selection-question.ts';
+import type {SelectionCriteria} from './selection-criteria.ts';
 import type {SelectorOptions} from './selector-options.ts';
 
 /**
@@ -82,22 +82,22 @@
 	/**
 	Streams that are expected to be late by their pauses: those that are open at the endpoint, and the request's own.
 	*/
-	function measureHarm({pauses, paces, rate}: PoolModel, endpoint: string, load: EndpointLoad, unread: number, {pauseObjectiveMs}: SelectionQuestion): number {
+	function measureHarm({pauses, paces, rate}: PoolModel, endpoint: string, load: EndpointLoad, unread: number, {pauseObjectiveMs}: SelectionCriteria): number {
 		const factor = paces.getFactor(endpoint);
 		const backlogMs = countUnread(load) / (rate.get() * factor);
 		const backlogHarm = pauses.toHarm(backlogMs, factor);
 		const added = pauses.toHarm(backlogMs + (unread / (rate.get() * factor)), factor) - backlogHarm;
 		const others = Math.min(load.open, added * load.sensitivity);
 		const own = 1 - Math.exp(-(pauses.predictHarm(endpoint) + backlogHarm) * pauses.toSensitivity(pauseObjectiveMs));
-		return (settings.harmWeight * others) + (settings.riskWeight * own);
+		return (settings.interferenceWeight * others) + (settings.riskWeight * own);
 	}
 
-	function findAgreed(ready: readonly KnownEndpoint[], candidates: readonly KnownEndpoint[], shared: SelectionQuestion['parts']): string | undefined {
+	function findAgreed(ready: readonly KnownEndpoint[], candidates: readonly KnownEndpoint[], shared: SelectionCriteria['parts']): string | undefined {
 		const key = shared.map(({id}) => id).join(',');
 		return holders.find(key, ready.map(({incarnation}) => incarnation), new Set(candidates.map(({incarnation}) => incarnation)));
 	}
 
-	function chooseBest(pool: PoolModel, ready: readonly KnownEndpoint[], candidates: readonly KnownEndpoint[], question: SelectionQuestion): Rating | undefined {
+	function chooseBest(pool: PoolModel, ready: readonly KnownEndpoint[], candidates: readonly KnownEndpoint[], question: SelectionCriteria): Rating | undefined {
 		const {urgency} = question;
 		const shared = question.parts.slice(0, -1);
 		const recentTokens = prefixes.countRecent(question.parts);
@@ -168,7 +168,7 @@
 	};
 }
 
-function countTokens(parts: SelectionQuestion['parts']): number {
+function countTokens(parts: SelectionCriteria['parts']): number {
 	let sum = 0;
 	for (const {tokens} of parts) {
 		sum += tokens;
--- a/gateway/selection/src/create-selector.ts
+++ b/gateway/selection/src/create-selector.ts
@@ -9,11 +9,11 @@
 import {createWorkBook} from './create-work-book.ts';
 import {formatIncarnation} from './format-incarnation.ts';
 import type {KnownEndpoint} from './known-endpoint.ts';
-import type {LoadNews} from './load-news.ts';
+import type {LoadUpdate} from './load-update.ts';
 import type {Placement} from './placement.ts';
 import type {Rating} from './rating.ts';
 import type {Selection} from './selection.ts';
-import type {SelectionQuestion} from './selection-question.ts';
+import type {SelectionCriteria} from './selection-criteria.ts';
 import type {Selector} from './selector.ts';
 import type {SelectorOptions} from './selector-options.ts';
 
@@ -66,7 +66,7 @@
 		onPlacement(placement) {
 			addPlacement(placement);
 			placements.push(placement);
-			options.onPlaced?.();
+			options.onPlacement?.();
 		},
 	});
 
@@ -108,14 +108,14 @@
 		return sound.length > 0 ? sound : untried;
 	}
 
-	function chooseByLoad(candidates: readonly KnownEndpoint[], question: SelectionQuestion): Rating | undefined {
+	function chooseByLoad(candidates: readonly KnownEndpoint[], question: SelectionCriteria): Rating | undefined {
 		const rated = candidates.map(endpoint => ({
 			endpoint, heldTokens: 0, costMs: (loads.get(endpoint.incarnation).open + Math.random()) / endpoint.slots, readMs: 0, harmMs: 0, urgency: question.urgency, candidates: candidates.length,
 		}));
 		return rated.toSorted((a, b) => a.costMs - b.costMs)[0];
 	}
 
-	function choose(question: SelectionQuestion): Selection | undefined {
+	function choose(question: SelectionCriteria): Selection | undefined {
 		const ready = listReady(question.pool);
 		const candidates = listCandidates(ready, question.tried);
 		const rating = pools.get(question.pool)?.engine === undefined
@@ -127,7 +127,7 @@
 	/**
 	A peer that has not heard of a new incarnation yet still tells of the one before.
 	*/
-	function takeCurrent({loads: told, placements: sent}: LoadNews): LoadNews {
+	function takeCurrent({loads: told, placements: sent}: LoadUpdate): LoadUpdate {
 		return {
 			loads: told.filter(([endpoint]) => !outdated.has(endpoint)),
 			placements: sent.filter(({endpoint}) => !outdated.has(endpoint)),
@@ -207,14 +207,14 @@
 			const remaining = listReady(pool).map(({incarnation}) => cooldowns.getRemainingMs(incarnation));
 			return remaining.length === 0 ? 0 : Math.min(...remaining);
 		},
-		takeNews() {
+		takeLoadUpdate() {
 			guard.update(endpoints.values());
 			const news = {loads: loads.takeChanged(), placements};
 			placements = [];
 			return news.loads.length === 0 && news.placements.length === 0 ? undefined : news;
 		},
 		listOwn: () => ({loads: loads.listOwn(), placements: []}),
-		applyNews(node, news) {
+		applyLoadUpdate(node, news) {
 			newsAt = performance.now();
 			const current = takeCurrent(news);
 			for (const [endpoint, load] of current.loads) {
@@ -231,7 +231,7 @@
 			unseenFactor = factor;
 			loads.setUnseenFactor(factor);
 		},
-		measureWork: pool => ({
+		measurePoolLoad: pool => ({
 			...chooser.getReading(pool),
 			open: listReady(pool).reduce((sum, {incarnation}) => sum + loads.get(incarnation).open, 0),
 		}),
--- a/gateway/selection/src/create-work-book.ts
+++ b/gateway/selection/src/create-work-book.ts
@@ -3,11 +3,11 @@
 import type {FailureTable} from './failure-table.ts';
 import type {LoadTable} from './load-table.ts';
 import {noLoad} from './no-load.ts';
-import type {OpenWork} from './open-work.ts';
+import type {OpenRequest} from './open-request.ts';
 import type {Placement} from './placement.ts';
 import type {PromptChooser} from './prompt-chooser.ts';
 import type {Selection} from './selection.ts';
-import type {SelectionQuestion} from './selection-question.ts';
+import type {SelectionCriteria} from './selection-criteria.ts';
 import type {SilenceGuard} from './silence-guard.ts';
 import type {WorkBook} from './work-book.ts';
 
@@ -82,7 +82,7 @@
  */
 export function createWorkBook({loads, failures, chooser, guard, onPlacement}: WorkBookOptions): WorkBook {
 	const book = new Map<string, Set<Entry>>();
-	const settlers: Readonly<Record<Parameters<OpenWork['close']>[0], (id: string) => void>> = {
+	const settlers: Readonly<Record<Parameters<OpenRequest['close']>[0], (id: string) => void>> = {
 		done(id) {
 			failures.record(id, false);
 		},
@@ -158,7 +158,7 @@
 		}
 	}
 
-	function openWork({endpoint: {incarnation: id}, heldTokens, urgency, costMs}: Selection, question: SelectionQuestion): OpenWork {
+	function openWork({endpoint: {incarnation: id}, heldTokens, urgency, costMs}: Selection, question: SelectionCriteria): OpenRequest {
 		const {pool, pauseObjectiveMs, promptTokens} = question;
 		const missing = Math.max(0, promptTokens - heldTokens);
 		const openedAt = performance.now();
@@ -204,7 +204,7 @@
 		}
 
 		return {
-			markPiece() {
+			markChunk() {
 				if (entry.isClosed) {
 					return;
 				}
@@ -228,7 +228,7 @@
 					guard.markPaused(id, work);
 				}
 			},
-			onSilent(handler) {
+			onStalled(handler) {
 				if (work !== undefined) {
 					guard.setHandler(id, work, handler);
 				}
@@ -260,5 +260,5 @@
 }
 
 function toLoad(open: number, urgency: number, tokens: number): EndpointLoad {
-	return {...noLoad, open, unread: tokens === 0 ? [] : Array.from({length: urgency + 1}, (_value, rank) => rank === urgency ? tokens : 0)};
+	return {...noLoad, open, pendingPrefill: tokens === 0 ? [] : Array.from({length: urgency + 1}, (_value, rank) => rank === urgency ? tokens : 0)};
 }
--- a/gateway/selection/src/endpoint-load.ts
+++ b/gateway/selection/src/endpoint-load.ts
@@ -9,7 +9,7 @@
 	/**
 	Prompt tokens that are still to be read before first tokens, by the rank of their requests, 0 first.
 	*/
-	readonly unread: readonly number[];
+	readonly pendingPrefill: readonly number[];
 	/**
 	How much its open streams suffer from pauses: the sum of their sensitivities.
 	*/
@@ -17,11 +17,11 @@
 	/**
 	1 when the node ought to have heard of it of late, and 1 when it has not.
 	*/
-	readonly witnesses: number;
-	readonly silent: number;
+	readonly observers: number;
+	readonly stalledObservers: number;
 	/**
 	Prompt tokens that it read of late, with those that were before them, and the milliseconds that this took: its pace.
 	*/
-	readonly readTokens: number;
-	readonly readMs: number;
+	readonly prefilledTokens: number;
+	readonly prefillMs: number;
 };
--- a/gateway/selection/src/measure-delay.ts
+++ b/gateway/selection/src/measure-delay.ts
@@ -35,7 +35,7 @@
 export function measureDelay({load, slots, urgency, unread, tokensPerMs}: DelayQuestion): number {
 	let before = 0;
 	let behind = 0;
-	for (const [rank, tokens] of load.unread.entries()) {
+	for (const [rank, tokens] of load.pendingPrefill.entries()) {
 		before += rank <= urgency ? tokens : 0;
 		behind += rank > urgency ? tokens : 0;
 	}
--- a/gateway/selection/src/no-load.ts
+++ b/gateway/selection/src/no-load.ts
@@ -4,5 +4,5 @@
 Load of an endpoint without work.
 */
 export const noLoad: EndpointLoad = {
-	open: 0, unread: [], sensitivity: 0, witnesses: 0, silent: 0, readTokens: 0, readMs: 0,
+	open: 0, pendingPrefill: [], sensitivity: 0, observers: 0, stalledObservers: 0, prefilledTokens: 0, prefillMs: 0,
 };
--- a/gateway/selection/src/open-work.ts
+++ b/gateway/selection/src/open-request.ts
@@ -1,11 +1,11 @@
 /**
 A request that is open at an endpoint.
 */
-export type OpenWork = {
+export type OpenRequest = {
 	/**
 	A piece of the answer has come; the first one shows that the prompt was read.
 	*/
-	readonly markPiece: () => void;
+	readonly markChunk: () => void;
 	/**
 	The caller reads slowly, so that the endpoint has to wait.
 	*/
@@ -13,7 +13,7 @@
 	/**
 	Sets what is to be done when no node hears of the endpoint any more.
 	*/
-	readonly onSilent: (handler: () => void) => void;
+	readonly onStalled: (handler: () => void) => void;
 	/**
 	Sets what is to be done when the process that it was sent to is known to have ended.
 	*/
--- a/gateway/selection/src/pool-work.ts
+++ b/gateway/selection/src/pool-load.ts
@@ -1,7 +1,7 @@
 /**
 Work of a pool, as all nodes have told it.
 */
-export type PoolWork = {
+export type PoolLoad = {
 	/**
 	Requests that are open at its endpoints.
 	*/
--- a/gateway/selection/src/prompt-chooser.ts
+++ b/gateway/selection/src/prompt-chooser.ts
@@ -1,8 +1,8 @@
 import type {KnownEndpoint} from './known-endpoint.ts';
 import type {PauseModel} from './pause-model.ts';
-import type {PoolWork} from './pool-work.ts';
+import type {PoolLoad} from './pool-load.ts';
 import type {Rating} from './rating.ts';
-import type {SelectionQuestion} from './selection-question.ts';
+import type {SelectionCriteria} from './selection-criteria.ts';
 
 /**
 Chooses among model engines: by prompts that they hold, work that they have, and the pauses that reading would cause.
@@ -15,7 +15,7 @@
 	/**
 	Best of the candidates, which are some of the endpoints that are ready; `undefined` when there are none.
 	*/
-	readonly choose: (ready: readonly KnownEndpoint[], candidates: readonly KnownEndpoint[], question: SelectionQuestion) => Rating | undefined;
+	readonly choose: (ready: readonly KnownEndpoint[], candidates: readonly KnownEndpoint[], question: SelectionCriteria) => Rating | undefined;
 	/**
 	Records tokens that an endpoint has to read for a prompt, on whichever node.
 	*/
@@ -32,6 +32,6 @@
 	/**
 	Tokens of prompts that were placed in a pool so far, and what a usual engine of it reads in a millisecond.
 	*/
-	readonly getReading: (pool: string) => Omit<PoolWork, 'open'>;
+	readonly getReading: (pool: string) => Omit<PoolLoad, 'open'>;
 	readonly removeEndpoint: (endpoint: string) => void;
 };
--- a/gateway/selection/src/remove-load.ts
+++ b/gateway/selection/src/remove-load.ts
@@ -10,11 +10,11 @@
 export function removeLoad(sum: EndpointLoad, part: EndpointLoad): EndpointLoad {
 	return addLoads(sum, {
 		open: -part.open,
-		unread: part.unread.map(tokens => -tokens),
+		pendingPrefill: part.pendingPrefill.map(tokens => -tokens),
 		sensitivity: -part.sensitivity,
-		witnesses: -part.witnesses,
-		silent: -part.silent,
-		readTokens: -part.readTokens,
-		readMs: -part.readMs,
+		observers: -part.observers,
+		stalledObservers: -part.stalledObservers,
+		prefilledTokens: -part.prefilledTokens,
+		prefillMs: -part.prefillMs,
 	});
 }
--- a/gateway/selection/src/selection-question.ts
+++ b/gateway/selection/src/selection-criteria.ts
@@ -3,7 +3,7 @@
 /**
 What the choice of an endpoint depends on.
 */
-export type SelectionQuestion = {
+export type SelectionCriteria = {
 	readonly pool: string;
 	/**
 	Latency objective of the route, in milliseconds.
--- a/gateway/selection/src/selector-options.ts
+++ b/gateway/selection/src/selector-options.ts
@@ -6,7 +6,7 @@
 	Weight of an open stream that reading a prompt beside it would make late, in latency objectives of the prompt's route. In
 	emulated bursts (four seeds), 6 of 100 queries paused too long with both weights at 1, and 44 with both at 0.
 	*/
-	readonly harmWeight: number;
+	readonly interferenceWeight: number;
 	/**
 	Weight of the chance that a stream is made late by what its endpoint reads, in latency objectives of its route.
 	*/
@@ -30,5 +30,5 @@
 	/**
 	Is told of each request that is placed.
 	*/
-	readonly onPlaced?: () => void;
+	readonly onPlacement?: () => void;
 };
--- a/gateway/selection/src/selector.ts
+++ b/gateway/selection/src/selector.ts
@@ -1,10 +1,10 @@
 import type {AnswerFacts, ServicePool, ServingEndpoint} from '@valvesaddle/gateway-types';
 import type {KnownEndpoint} from './known-endpoint.ts';
-import type {LoadNews} from './load-news.ts';
-import type {OpenWork} from './open-work.ts';
-import type {PoolWork} from './pool-work.ts';
+import type {LoadUpdate} from './load-update.ts';
+import type {OpenRequest} from './open-request.ts';
+import type {PoolLoad} from './pool-load.ts';
 import type {Selection} from './selection.ts';
-import type {SelectionQuestion} from './selection-question.ts';
+import type {SelectionCriteria} from './selection-criteria.ts';
 
 /**
 Chooses endpoints and keeps the books that the choice needs.
@@ -21,7 +21,7 @@
 	/**
 	Best endpoint that is ready and was not tried; `undefined` when there is none.
 	*/
-	readonly choose: (question: SelectionQuestion) => Selection | undefined;
+	readonly choose: (question: SelectionCriteria) => Selection | undefined;
 	/**
 	Takes what an incarnation said of itself in an answer; no way of choosing an endpoint goes past it.
 	*/
@@ -37,19 +37,19 @@
 	/**
 	Books a request at the chosen endpoint.
 	*/
-	readonly open: (selection: Selection, question: SelectionQuestion) => OpenWork;
+	readonly open: (selection: Selection, question: SelectionCriteria) => OpenRequest;
 	/**
 	News for peers since the last call; `undefined` when there are none.
 	*/
-	readonly takeNews: () => LoadNews | undefined;
+	readonly takeLoadUpdate: () => LoadUpdate | undefined;
 	/**
 	The node's own work in full, for a peer that has just come.
 	*/
-	readonly listOwn: () => LoadNews;
+	readonly listOwn: () => LoadUpdate;
 	/**
 	Takes in a peer's news; returns what of them is not of incarnations that are known to be gone.
 	*/
-	readonly applyNews: (node: string, news: LoadNews) => LoadNews;
+	readonly applyLoadUpdate: (node: string, news: LoadUpdate) => LoadUpdate;
 	/**
 	Sets how many times the known work stands for all of it, while peers cannot be heard.
 	*/
@@ -57,6 +57,6 @@
 	/**
 	Work of a pool, of all nodes.
 	*/
-	readonly measureWork: (pool: string) => PoolWork;
+	readonly measurePoolLoad: (pool: string) => PoolLoad;
 	readonly removeNode: (node: string) => void;
 };
--- a/gateway/selection/src/work-book.ts
+++ b/gateway/selection/src/work-book.ts
@@ -1,6 +1,6 @@
-import type {OpenWork} from './open-work.ts';
+import type {OpenRequest} from './open-request.ts';
 import type {Selection} from './selection.ts';
-import type {SelectionQuestion} from './selection-question.ts';
+import type {SelectionCriteria} from './selection-criteria.ts';
 
 /**
 A node's own requests at endpoints.
@@ -9,7 +9,7 @@
 	/**
 	Books a request at the chosen endpoint.
 	*/
-	readonly open: (selection: Selection, question: SelectionQuestion) => OpenWork;
+	readonly open: (selection: Selection, question: SelectionCriteria) => OpenRequest;
 	/**
 	Forgets the requests at an endpoint: what they still report counts nowhere. Those that were opened before `endedAt`, in Unix
 	milliseconds, are told that their process has ended.
--- a/gateway/selection/test/endpoint-notices.test.ts
+++ b/gateway/selection/test/endpoint-notices.test.ts
@@ -16,7 +16,7 @@
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const selector = createSelector({
-		harmWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
+		interferenceWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
 	});
 	selector.setPools([{name: 'desk', engine: undefined}]);
 	selector.addEndpoint(first);
--- a/gateway/selection/test/incarnations.test.ts
+++ b/gateway/selection/test/incarnations.test.ts
@@ -5,12 +5,12 @@
 	createSelector,
 	formatIncarnation,
 	noLoad,
-	type SelectionQuestion,
+	type SelectionCriteria,
 	type Selector,
 } from '@valvesaddle/selection';
 
 const options = {
-	harmWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
+	interferenceWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
 };
 const bornMs = 1000;
 const againMs = 60_000;
@@ -24,7 +24,7 @@
 const newName = formatIncarnation(again);
 const otherName = formatIncarnation(other);
 
-function createQuestion(change: Partial<SelectionQuestion> = {}): SelectionQuestion {
+function createQuestion(change: Partial<SelectionCriteria> = {}): SelectionCriteria {
 	return {
 		pool: 'engines', objectiveMs: 250, pauseObjectiveMs: 200, urgency: 0, promptTokens: 3000, parts: [{id: 'subject', tokens: 2800}, {id: 'own', tokens: 200}], tried: new Set(), ...change,
 	};
@@ -43,7 +43,7 @@
 	return {selector, clock};
 }
 
-function send(selector: Selector, question: SelectionQuestion) {
+function send(selector: Selector, question: SelectionCriteria) {
 	const selection = selector.choose(question);
 	if (selection === undefined) {
 		throw new TypeError('no endpoint');
@@ -68,9 +68,9 @@
 	const same = createQuestion({tried: new Set([otherName])});
 	const stream = send(selector, same);
 	clock.advance(60);
-	stream.markPiece();
+	stream.markChunk();
 	const waiting = send(selector, {...same, parts: [{id: 'else', tokens: 2800}, {id: 'own', tokens: 200}]});
-	selector.applyNews('n2', {loads: [[oldName, {...noLoad, open: 9, unread: [50_000]}]], placements: []});
+	selector.applyLoadUpdate('n2', {loads: [[oldName, {...noLoad, open: 9, pendingPrefill: [50_000]}]], placements: []});
 	t.ok((selector.choose(same)?.costMs ?? 0) > 1000);
 	t.ok((selector.choose(same)?.harmMs ?? 0) > 0);
 	t.equal(selector.choose(same)?.heldTokens, 2800);
@@ -81,7 +81,7 @@
 		endpoint: again, costMs, readMs, harmMs, heldTokens,
 	});
 	t.same(selector.listOwn(), {loads: [], placements: []});
-	t.equal(selector.takeNews(), undefined);
+	t.equal(selector.takeLoadUpdate(), undefined);
 	t.end();
 });
 
@@ -91,7 +91,7 @@
 	send(selector, question).close('gone');
 	t.equal(selector.choose(createQuestion())?.endpoint.id, 'i-2');
 	selector.setIncarnation(again);
-	selector.applyNews('n2', {loads: [[otherName, {...noLoad, open: 9, unread: [50_000]}]], placements: []});
+	selector.applyLoadUpdate('n2', {loads: [[otherName, {...noLoad, open: 9, pendingPrefill: [50_000]}]], placements: []});
 	t.equal(selector.choose(createQuestion())?.endpoint.id, 'i-1');
 	t.end();
 });
@@ -104,7 +104,7 @@
 		const current = send(selector, createQuestion());
 		const before = getOwn(selector, newName);
 		clock.advance(80);
-		late.markPiece();
+		late.markChunk();
 		late.markPaused();
 		late.close(end);
 		t.same(getOwn(selector, newName), before);
@@ -131,16 +131,16 @@
 test('news of a peer about the process before are dropped, those about a new one hold before it is known', t => {
 	const {selector} = createFilled(t, [first]);
 	const load = {...noLoad, open: 9};
-	selector.applyNews('n2', {loads: [[newName, load]], placements: []});
+	selector.applyLoadUpdate('n2', {loads: [[newName, load]], placements: []});
 	selector.setIncarnation(again);
 	const placement = {
 		endpoint: oldName, pool: 'engines', parts: ['subject'], tokens: 2800,
 	};
-	t.same(selector.applyNews('n3', {loads: [[oldName, load], [newName, load]], placements: [placement]}), {loads: [[newName, load]], placements: []});
+	t.same(selector.applyLoadUpdate('n3', {loads: [[oldName, load], [newName, load]], placements: [placement]}), {loads: [[newName, load]], placements: []});
 	const news = selector.choose(createQuestion());
 	t.equal(news?.heldTokens, 0);
 	const busy = createFilled(t, [again]).selector;
-	busy.applyNews('n2', {loads: [[newName, {...load, open: 18}]], placements: []});
+	busy.applyLoadUpdate('n2', {loads: [[newName, {...load, open: 18}]], placements: []});
 	t.equal(news?.costMs, busy.choose(createQuestion())?.costMs);
 	t.end();
 });
@@ -161,7 +161,7 @@
 	elsewhere.onEnded(() => {
 		told.push('elsewhere');
 	});
-	selector.applyNews('n2', {loads: [[otherName, {...noLoad, open: 9, unread: [50_000]}]], placements: []});
+	selector.applyLoadUpdate('n2', {loads: [[otherName, {...noLoad, open: 9, pendingPrefill: [50_000]}]], placements: []});
 	selector.setIncarnation(again);
 	t.same(told, ['before i-1']);
 	selector.removeEndpoint('i-2');
--- a/gateway/selection/test/pace-model.test.ts
+++ b/gateway/selection/test/pace-model.test.ts
@@ -2,7 +2,7 @@
 import {createPaceModel} from '../src/create-pace-model.ts';
 
 function toLoads(paces: Readonly<Record<string, number>>, readMs = 1000) {
-	return new Map(Object.entries(paces).map(([id, pace]) => [id, {readTokens: pace * readMs, readMs}]));
+	return new Map(Object.entries(paces).map(([id, pace]) => [id, {prefilledTokens: pace * readMs, prefillMs: readMs}]));
 }
 
 test('endpoints that read more slowly than the median have their part of its pace', t => {
--- a/gateway/selection/test/selector.test.ts
+++ b/gateway/selection/test/selector.test.ts
@@ -4,15 +4,15 @@
 import {
 	createSelector,
 	type EndpointLoad,
-	type SelectionQuestion,
+	type SelectionCriteria,
 	type Selector,
 } from '@valvesaddle/selection';
 
 const options = {
-	harmWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
+	interferenceWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
 };
 
-function createQuestion(change: Partial<SelectionQuestion> = {}): SelectionQuestion {
+function createQuestion(change: Partial<SelectionCriteria> = {}): SelectionCriteria {
 	return {
 		pool: 'engines', objectiveMs: 250, pauseObjectiveMs: 0, urgency: 0, promptTokens: 800, parts: [{id: 'shared', tokens: 600}, {id: 'own', tokens: 200}], tried: new Set(), ...change,
 	};
@@ -38,15 +38,15 @@
 
 function toLoad(open: number, unreadTokens: number): EndpointLoad {
 	return {
-		open, unread: unreadTokens === 0 ? [] : [unreadTokens], sensitivity: 0, witnesses: 0, silent: 0, readTokens: 0, readMs: 0,
+		open, pendingPrefill: unreadTokens === 0 ? [] : [unreadTokens], sensitivity: 0, observers: 0, stalledObservers: 0, prefilledTokens: 0, prefillMs: 0,
 	};
 }
 
-function choose(selector: Selector, question: SelectionQuestion): string {
+function choose(selector: Selector, question: SelectionCriteria): string {
 	return selector.choose(question)?.endpoint.id ?? 'none';
 }
 
-function send(selector: Selector, question: SelectionQuestion) {
+function send(selector: Selector, question: SelectionCriteria) {
 	const selection = selector.choose(question);
 	if (selection === undefined) {
 		throw new TypeError('no endpoint');
@@ -80,8 +80,8 @@
 		const question = createQuestion({promptTokens: 3000, parts: [{id: `subject-${subject}`, tokens: 2800}, {id: `own-${subject}`, tokens: 200}]});
 		const {id, work} = send(selector, question);
 		work.close('done');
-		const news = selector.takeNews();
-		other.applyNews('n1', news ?? {loads: [], placements: []});
+		const news = selector.takeLoadUpdate();
+		other.applyLoadUpdate('n1', news ?? {loads: [], placements: []});
 		t.equal(choose(selector, question), id);
 		t.equal(choose(other, question), id);
 	}
@@ -95,7 +95,7 @@
 	const {id, work} = send(selector, question);
 	work.close('done');
 	t.equal(selector.choose(question)?.heldTokens, 2800);
-	selector.applyNews('n2', {
+	selector.applyLoadUpdate('n2', {
 		loads: [], placements: [{
 			endpoint: id, pool: 'engines', parts: ['else'], tokens: 500_000,
 		}],
@@ -112,7 +112,7 @@
 		promptTokens: 10, pauseObjectiveMs: 200, parts: [{id: 'own', tokens: 10}], tried: new Set(ids.filter(other => other !== id)),
 	});
 	const {work} = send(selector, question);
-	work.markPiece();
+	work.markChunk();
 	return work;
 }
 
@@ -128,7 +128,7 @@
 		promptTokens: 12_000, objectiveMs: 2000, parts: [{id: 'own', tokens: 12_000}],
 	});
 	t.equal(choose(selector, long), 'i-3');
-	selector.applyNews('n2', {loads: [['i-3', toLoad(1, 9000)]], placements: []});
+	selector.applyLoadUpdate('n2', {loads: [['i-3', toLoad(1, 9000)]], placements: []});
 	t.equal(choose(selector, long), 'i-3', 'an engine that reads already');
 	t.not(choose(selector, createQuestion({promptTokens: 1000, parts: [{id: 'own', tokens: 1000}]})), 'i-3');
 	t.end();
@@ -139,7 +139,7 @@
 	const {selector, clock} = createFilled(t, ids);
 	const stream = createQuestion({pauseObjectiveMs: 200, objectiveMs: 600});
 	for (const busy of ids) {
-		selector.applyNews('n2', {
+		selector.applyLoadUpdate('n2', {
 			loads: [], placements: [{
 				endpoint: busy, pool: 'engines', parts: [], tokens: 15_000,
 			}],
@@ -148,7 +148,7 @@
 		clock.advance(60_000);
 	}
 
-	selector.applyNews('n2', {
+	selector.applyLoadUpdate('n2', {
 		loads: [['i-2', toLoad(3, 60_000)]], placements: [{
 			endpoint: 'i-1', pool: 'engines', parts: [], tokens: 15_000,
 		}],
@@ -160,7 +160,7 @@
 test('a prompt does not wait for those that rank behind it, but for what was begun', t => {
 	const {selector} = createFilled(t, ['i-1']);
 	const late = send(selector, createQuestion({promptTokens: 8000, urgency: 2, parts: [{id: 'own', tokens: 8000}]}));
-	t.same(selector.listOwn().loads[0]?.[1].unread, [0, 0, 8000]);
+	t.same(selector.listOwn().loads[0]?.[1].pendingPrefill, [0, 0, 8000]);
 	const question = createQuestion({promptTokens: 400, parts: [{id: 'own', tokens: 400}]});
 	const costMs = selector.choose(question)?.costMs ?? Infinity;
 	t.ok(costMs > 4400 / 50 && costMs < 8400 / 50, `${costMs} ms`);
@@ -183,9 +183,9 @@
 
 	function exchangeNews(): void {
 		for (const [node, from, to] of [['n1', first, second], ['n2', second, first]] as const) {
-			const news = from.takeNews();
+			const news = from.takeLoadUpdate();
 			if (news !== undefined) {
-				to.applyNews(node, news);
+				to.applyLoadUpdate(node, news);
 			}
 		}
 	}
@@ -201,7 +201,7 @@
 			for (let passed = 0; passed < milliseconds; passed += 50) {
 				clock.advance(50);
 				for (const stream of streams) {
-					stream.markPiece();
+					stream.markChunk();
 				}
 
 				exchangeNews();
@@ -216,7 +216,7 @@
 	openStream(second, 'i-1', ids);
 	const told: string[] = [];
 	const waiting = send(second, createQuestion({promptTokens: 4000, pauseObjectiveMs: 200, tried: new Set(['i-2'])}));
-	waiting.work.onSilent(() => {
+	waiting.work.onStalled(() => {
 		told.push(waiting.id);
 	});
 	advance(300);
@@ -234,12 +234,12 @@
 	const {first, second, ids, advance} = createPair(t);
 	const told: string[] = [];
 	const cut = openStream(first, 'i-1', ids);
-	cut.onSilent(() => {
+	cut.onStalled(() => {
 		told.push('cut off');
 	});
 	const heard = openStream(second, 'i-1', ids);
 	const paused = openStream(second, 'i-2', ids);
-	paused.onSilent(() => {
+	paused.onStalled(() => {
 		told.push('slow caller');
 	});
 	paused.markPaused();
@@ -256,9 +256,9 @@
 	selector.addEndpoint(createEndpoint('p-1', {pool: 'plain', slots: 6}));
 	selector.addEndpoint(createEndpoint('p-2', {pool: 'plain', slots: 6}));
 	const question = createQuestion({pool: 'plain', promptTokens: 0, parts: []});
-	selector.applyNews('n2', {loads: [['p-1', toLoad(5, 0)]], placements: []});
+	selector.applyLoadUpdate('n2', {loads: [['p-1', toLoad(5, 0)]], placements: []});
 	t.equal(choose(selector, question), 'p-2');
-	selector.applyNews('n3', {loads: [['p-2', toLoad(7, 0)]], placements: []});
+	selector.applyLoadUpdate('n3', {loads: [['p-2', toLoad(7, 0)]], placements: []});
 	t.equal(choose(selector, question), 'p-1');
 	selector.removeNode('n3');
 	t.equal(choose(selector, question), 'p-2');
@@ -274,7 +274,7 @@
 		pool: 'plain', promptTokens: 0, parts: [], tried: new Set(['p-2']),
 	});
 	send(selector, failing).work.close('failed');
-	selector.applyNews('n2', {loads: [['p-2', toLoad(9, 0)]], placements: []});
+	selector.applyLoadUpdate('n2', {loads: [['p-2', toLoad(9, 0)]], placements: []});
 	t.equal(choose(selector, question), 'p-1');
 	send(selector, failing).work.close('failed');
 	t.equal(choose(selector, question), 'p-2');
@@ -290,14 +290,14 @@
 test('a node tells of its own work in full, and only of what has changed', t => {
 	const {selector} = createFilled(t, ['i-1']);
 	const {work} = send(selector, createQuestion());
-	t.match(selector.takeNews(), {
+	t.match(selector.takeLoadUpdate(), {
 		loads: [['i-1', toLoad(1, 800)]], placements: [{
 			endpoint: 'i-1', parts: ['shared'], tokens: 800,
 		}],
 	});
-	t.equal(selector.takeNews(), undefined);
-	work.markPiece();
-	t.match(selector.takeNews(), {loads: [['i-1', toLoad(1, 0)]], placements: []});
+	t.equal(selector.takeLoadUpdate(), undefined);
+	work.markChunk();
+	t.match(selector.takeLoadUpdate(), {loads: [['i-1', toLoad(1, 0)]], placements: []});
 	work.close('done');
 	work.close('failed');
 	t.match(selector.listOwn(), {loads: [['i-1', toLoad(0, 0)]]});
@@ -313,7 +313,7 @@
 			const question = createQuestion({promptTokens: 2000, parts: [{id: `${id}-${turn}`, tokens: 2000}], tried: new Set(Object.keys(times).filter(other => other !== id))});
 			const {work} = send(selector, question);
 			clock.advance(milliseconds);
-			work.markPiece();
+			work.markChunk();
 			work.close('done');
 		}
 	}
@@ -328,16 +328,16 @@
 		});
 		const [first = ''] = ids;
 		const work = openStream(selector, first, ids);
-		selector.applyNews('n2', {loads: [[first, toLoad(1, 60_000)]], placements: []});
-		work.markPiece();
+		selector.applyLoadUpdate('n2', {loads: [[first, toLoad(1, 60_000)]], placements: []});
+		work.markChunk();
 		for (let pause = 0; pause < 12; pause++) {
 			clock.advance(190);
-			work.markPiece();
+			work.markChunk();
 		}
 
 		work.close('done');
 		selector.removeNode('n2');
-		selector.applyNews('n2', {
+		selector.applyLoadUpdate('n2', {
 			loads: [], placements: ids.map(endpoint => ({
 				endpoint, pool: 'engines', parts: [], tokens: 30_000,
 			})),
@@ -354,15 +354,15 @@
 test('a prompt that waited behind others says nothing of its engine', t => {
 	const {selector, clock} = createFilled(t, ['i-1', 'i-2']);
 	readPrompts(selector, clock, {'i-1': 50, 'i-2': 50});
-	const before = selector.listOwn().loads.map(([, {readTokens}]) => readTokens);
+	const before = selector.listOwn().loads.map(([, {prefilledTokens: readTokens}]) => readTokens);
 	const question = createQuestion({promptTokens: 4000, parts: [{id: 'queue', tokens: 4000}], tried: new Set(['i-2'])});
 	const first = send(selector, question);
 	const second = send(selector, question);
 	clock.advance(500);
-	second.work.markPiece();
-	t.same(selector.listOwn().loads.map(([, {readTokens}]) => readTokens), before);
-	first.work.markPiece();
-	t.not(selector.listOwn().loads.map(([, {readTokens}]) => readTokens)[0], before[0]);
+	second.work.markChunk();
+	t.same(selector.listOwn().loads.map(([, {prefilledTokens: readTokens}]) => readTokens), before);
+	first.work.markChunk();
+	t.not(selector.listOwn().loads.map(([, {prefilledTokens: readTokens}]) => readTokens)[0], before[0]);
 	t.end();
 });
 
@@ -378,7 +378,7 @@
 
 		const question = createQuestion({parts: [{id: 'own', tokens: 800}]});
 		t.equal(choose(selector, question), connected);
-		selector.applyNews('n2', {loads: [[connected, toLoad(4, 4000)]], placements: []});
+		selector.applyLoadUpdate('n2', {loads: [[connected, toLoad(4, 4000)]], placements: []});
 		t.not(choose(selector, question), connected, 'reading 4,000 tokens takes longer than a new connection');
 	}
 
--- a/node/gateway/src/create-duty-task.ts
+++ b/node/gateway/src/create-duty-task.ts
@@ -87,7 +87,7 @@
 		listPools: () => view.configuration()?.pools ?? [],
 		countReady: pool => countReady(view.endpoints(), pool),
 		measureWork: pool => ({
-			...options.selector.measureWork(pool), slots: view.configuration()?.pools.find(({name}) => name === pool)?.engine?.slots ?? 1,
+			...options.selector.measurePoolLoad(pool), slots: view.configuration()?.pools.find(({name}) => name === pool)?.engine?.slots ?? 1,
 		}),
 		leastShare: settings.least_share,
 		logger,
--- a/node/gateway/src/create-gateway.ts
+++ b/node/gateway/src/create-gateway.ts
@@ -1,6 +1,6 @@
 import {randomBytes} from 'node:crypto';
 import {setTimeout as wait} from 'node:timers/promises';
-import {createUsualWaits} from '@valvesaddle/admission';
+import {createWaitBaselines} from '@valvesaddle/admission';
 import {createClusterView, createStoreFollower} from '@valvesaddle/cluster-view';
 import {toValvesaddleError} from '@valvesaddle/error';
 import {createExchangeClient} from '@valvesaddle/exchange';
@@ -92,13 +92,13 @@
 		metrics,
 	});
 	const selector = createSelector({
-		harmWeight: selection.harm_weight,
+		interferenceWeight: selection.harm_weight,
 		riskWeight: selection.risk_weight,
 		reuseMs: selection.reuse_s * msPerSecond,
 		rereadMsPerToken: selection.reread_ms_per_token,
 		prefillTokensPerMs: selection.prefill_tokens_per_ms,
 		hasConnection: address => exchanges.hasIdle(address),
-		onPlaced() {
+		onPlacement() {
 			sync.sendPlaced();
 		},
 	});
@@ -139,11 +139,11 @@
 		selector,
 		exchanges,
 		budget,
-		waits: createUsualWaits(),
+		waits: createWaitBaselines(),
 		onBegun(account, at) {
 			sync.usage?.count(account, at);
 		},
-		admission: {lateFactor: admission.late_factor, waitFactor: admission.wait_factor, returnFactor: admission.return_factor},
+		admission: {lateFactor: admission.late_factor, waitFactor: admission.wait_factor, retryAfterFactor: admission.return_factor},
 		logger,
 		metrics,
 	});
--- a/node/gateway/src/create-news-sync.ts
+++ b/node/gateway/src/create-news-sync.ts
@@ -13,7 +13,7 @@
 	readonly node: string;
 	readonly network: Pick<PeerNetwork, 'isReady' | 'notify'>;
 	readonly links: Pick<LinkPlan, 'isRelay' | 'listRelays' | 'listMembers'>;
-	readonly selector: Pick<Selector, 'takeNews' | 'applyNews' | 'setUnseenFactor' | 'removeNode'>;
+	readonly selector: Pick<Selector, 'takeLoadUpdate' | 'applyLoadUpdate' | 'setUnseenFactor' | 'removeNode'>;
 	/**
 	Nodes of the fleet that are known.
 	*/
@@ -54,7 +54,7 @@
 	return {
 		send(isMembersTurn) {
 			updateUnseen();
-			const own = selector.takeNews();
+			const own = selector.takeLoadUpdate();
 			if (own !== undefined) {
 				relay.addOwn(own);
 			}
@@ -74,7 +74,7 @@
 		applyNews(parameters, node) {
 			const news: OriginNews = {...parseNews(parameters), origin: node};
 			origins.set(node, news.nodes);
-			const current = {...news, ...selector.applyNews(node, news)};
+			const current = {...news, ...selector.applyLoadUpdate(node, news)};
 			if (!links.isRelay(node)) {
 				relay.addMember(current);
 			} else if (links.isRelay(self)) {
--- a/node/gateway/src/format-news.ts
+++ b/node/gateway/src/format-news.ts
@@ -15,7 +15,7 @@
 export function formatNews({nodes, loads, placements}: OriginNews): NewsMessage {
 	return {
 		nodes,
-		loads: loads.map(([endpoint, {open, unread, sensitivity, witnesses, silent, readTokens, readMs}]) => [
+		loads: loads.map(([endpoint, {open, pendingPrefill: unread, sensitivity, observers: witnesses, stalledObservers: silent, prefilledTokens: readTokens, prefillMs: readMs}]) => [
 			endpoint,
 			open,
 			unread.map(tokens => Math.round(tokens)),
--- a/node/gateway/src/parse-news.ts
+++ b/node/gateway/src/parse-news.ts
@@ -30,7 +30,7 @@
 	const [endpoint, open, unread, sensitivity, witnesses, silent, readTokens, readMs] = toRow(row, loadFields);
 	if (typeof endpoint === 'string' && isAmount(open) && isUnread(unread) && isAmount(sensitivity) && isAmount(witnesses) && isAmount(silent) && isAmount(readTokens) && isAmount(readMs)) {
 		return [endpoint, {
-			open, unread, sensitivity, witnesses, silent, readTokens, readMs,
+			open, pendingPrefill: unread, sensitivity, observers: witnesses, stalledObservers: silent, prefilledTokens: readTokens, prefillMs: readMs,
 		}];
 	}
 
--- a/node/gateway/test/belief-sync.test.ts
+++ b/node/gateway/test/belief-sync.test.ts
@@ -71,7 +71,7 @@
 		},
 	};
 	const selector = createSelector({
-		harmWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
+		interferenceWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
 	});
 	const fleet = createFleet();
 	const {sync, handlers} = createPeerSync({
