--- a/gateway/selection/src/add-loads.ts
+++ b/gateway/selection/src/add-loads.ts
@@ -1,7 +1,7 @@
 import type {EndpointLoad} from './endpoint-load.ts';
 
 /**
- Sums two loads; no part falls below 0.
+ Adds two loads; requests, pending prompt tokens and sensitivity do not fall below 0.
 
  @example
  addLoads({...noLoad, open: 1}, {...noLoad, open: 2}).open; // 3
--- a/gateway/selection/src/bounded-set.ts
+++ b/gateway/selection/src/bounded-set.ts
@@ -1,5 +1,5 @@
 /**
-Names, of which only those that were added last are kept.
+Set of names that keeps only those added last.
 */
 export type BoundedSet = {
 	readonly add: (name: string) => void;
--- a/gateway/selection/src/cooldown-table.ts
+++ b/gateway/selection/src/cooldown-table.ts
@@ -1,13 +1,13 @@
 /**
-Endpoints that asked this node for no requests for some time.
+Endpoints that requested a cooldown from this node.
 */
 export type CooldownTable = {
 	/**
-	Starts the cooldown of an endpoint, in milliseconds; one that ends later holds on.
+	Starts a cooldown of an endpoint, in milliseconds; one that ends later stays.
 	*/
 	readonly start: (endpoint: string, milliseconds: number) => void;
 	/**
-	Milliseconds until the endpoint takes requests again; 0 when it does now.
+	Milliseconds until the endpoint's cooldown ends; 0 without one.
 	*/
 	readonly getRemainingMs: (endpoint: string) => number;
 };
--- a/gateway/selection/src/create-bounded-set.ts
+++ b/gateway/selection/src/create-bounded-set.ts
@@ -1,12 +1,12 @@
 import type {BoundedSet} from './bounded-set.ts';
 
 /**
- Creates a set that forgets the oldest name once it holds more than `limit`.
+ Creates a set that drops the oldest name when it holds more than `limit`.
 
  @example
- const outdated = createBoundedSet(2000);
- outdated.add('i-7f~mubbs7i8');
- outdated.has('i-7f~mubbs7i8'); // true
+ const removed = createBoundedSet(2000);
+ removed.add('i-7f~mubbs7i8');
+ removed.has('i-7f~mubbs7i8'); // true
  */
 export function createBoundedSet(limit: number): BoundedSet {
 	const names = new Set<string>();
--- a/gateway/selection/src/create-cooldown-table.ts
+++ b/gateway/selection/src/create-cooldown-table.ts
@@ -1,12 +1,12 @@
 import type {CooldownTable} from './cooldown-table.ts';
 
 /**
-Bounds what a broken endpoint can ask for, in milliseconds.
+Limits what a faulty endpoint can request.
 */
-const longestCooldownMs = 300_000;
+const maximumCooldownMs = 300_000;
 
 /**
- Creates the table of cooldowns. They belong to a process and are kept by its incarnation, whatever becomes of its entry.
+ Creates the table of cooldowns. They are stored by incarnation, so changes of the endpoint's entry do not end them.
 
  @example
  const cooldowns = createCooldownTable();
@@ -14,12 +14,12 @@
  cooldowns.getRemainingMs('i-7f'); // 3000
  */
 export function createCooldownTable(): CooldownTable {
-	const ends = new Map<string, number>();
+	const expiries = new Map<string, number>();
 
-	function removeEnded(now: number): void {
-		for (const [endpoint, endsAt] of ends) {
-			if (endsAt <= now) {
-				ends.delete(endpoint);
+	function removeExpired(now: number): void {
+		for (const [endpoint, expiresAt] of expiries) {
+			if (expiresAt <= now) {
+				expiries.delete(endpoint);
 			}
 		}
 	}
@@ -27,13 +27,13 @@
 	return {
 		start(endpoint, milliseconds) {
 			const now = performance.now();
-			removeEnded(now);
-			const endsAt = now + Math.min(longestCooldownMs, milliseconds);
-			ends.set(endpoint, Math.max(endsAt, ends.get(endpoint) ?? endsAt));
+			removeExpired(now);
+			const expiresAt = now + Math.min(maximumCooldownMs, milliseconds);
+			expiries.set(endpoint, Math.max(expiresAt, expiries.get(endpoint) ?? expiresAt));
 		},
 		getRemainingMs(endpoint) {
-			const endsAt = ends.get(endpoint);
-			return endsAt === undefined ? 0 : Math.max(0, endsAt - performance.now());
+			const expiresAt = expiries.get(endpoint);
+			return expiresAt === undefined ? 0 : Math.max(0, expiresAt - performance.now());
 		},
 	};
 }
--- a/gateway/selection/src/create-failure-table.ts
+++ b/gateway/selection/src/create-failure-table.ts
@@ -2,39 +2,42 @@
 
 type Failures = {
 	/**
-	Failures in a row.
+	Consecutive failures.
 	*/
 	readonly count: number;
-	readonly until: number;
+	/**
+	In milliseconds on the monotonic clock.
+	*/
+	readonly skippedUntil: number;
 };
 
 /**
-Failures in a row that eject an endpoint.
+Consecutive failures that eject an endpoint.
 */
 const failuresToEject = 2;
 const firstEjectionMs = 1000;
-const longestEjectionMs = 4000;
+const maximumEjectionMs = 4000;
 /**
-Time for which an endpoint that refused is passed over while there is another, so that its queue can shorten, in milliseconds.
+Time for which an endpoint that refused a request is skipped if there is another, so that its queue can shorten.
 */
-const refusedMs = 400;
+const refusalSkipMs = 400;
 
 /**
- Creates the table of failing endpoints. After an ejection one failure is enough for the next, which is twice as long.
+ Creates the table of failing endpoints. After an ejection a single failure starts the next one, which is twice as long.
 
  @example
  const failures = createFailureTable();
  failures.record('i-7f', true);
- failures.isEjected('i-7f'); // false: the first of two
+ failures.isEjected('i-7f'); // false: first of two failures
  */
 export function createFailureTable(): FailureTable {
 	const table = new Map<string, Failures>();
 
-	function addFailures(endpoint: string, least: number): void {
-		const count = Math.max(least, (table.get(endpoint)?.count ?? 0) + 1);
+	function addFailures(endpoint: string, minimumCount: number): void {
+		const count = Math.max(minimumCount, (table.get(endpoint)?.count ?? 0) + 1);
 		const ejections = count - failuresToEject;
-		const pause = ejections < 0 ? 0 : Math.min(longestEjectionMs, firstEjectionMs * (2 ** ejections));
-		table.set(endpoint, {count, until: performance.now() + pause});
+		const ejectionMs = ejections < 0 ? 0 : Math.min(maximumEjectionMs, firstEjectionMs * (2 ** ejections));
+		table.set(endpoint, {count, skippedUntil: performance.now() + ejectionMs});
 	}
 
 	return {
@@ -46,14 +49,14 @@
 			}
 		},
 		recordRefusal(endpoint) {
-			table.set(endpoint, {count: 0, until: performance.now() + refusedMs});
+			table.set(endpoint, {count: 0, skippedUntil: performance.now() + refusalSkipMs});
 		},
 		eject(endpoint) {
 			addFailures(endpoint, failuresToEject);
 		},
 		isEjected(endpoint) {
 			const failures = table.get(endpoint);
-			return failures !== undefined && performance.now() < failures.until;
+			return failures !== undefined && performance.now() < failures.skippedUntil;
 		},
 		removeEndpoint(endpoint) {
 			table.delete(endpoint);
--- a/gateway/selection/src/create-load-table.ts
+++ b/gateway/selection/src/create-load-table.ts
@@ -4,16 +4,16 @@
 import {noLoad} from './no-load.ts';
 
 /**
-What is left of earlier readings with each new one, so that the pace follows an endpoint within some ten of them.
+Weight that earlier prefills keep with each new one: about the last ten determine the speed of an endpoint.
 */
-const keptPart = 0.9;
+const prefillDecay = 0.9;
 
 /**
- Creates the table of work at endpoints.
+ Creates the table of loads.
 
  @example
  const loads = createLoadTable();
- loads.add('i-7f', {...noLoad, open: 1, unread: [6000]});
+ loads.add('i-7f', {...noLoad, open: 1, pendingPrefill: [6000]});
  loads.get('i-7f').open; // 1
  */
 export function createLoadTable(): LoadTable {
@@ -21,11 +21,11 @@
 	const peers = new Map<string, Map<string, EndpointLoad>>();
 	const changed = new Set<string>();
 	/**
-	Endpoints that some node has found silent.
+	Endpoints that some node has reported as stalled.
 	*/
 	const suspects = new Set<string>();
 	/**
-	Sums over all nodes, until one of their parts changes.
+	Cached sums over all nodes; an entry is dropped when a part of it changes.
 	*/
 	const sums = new Map<string, EndpointLoad>();
 	let unseenFactor = 1;
@@ -64,22 +64,22 @@
 		add(endpoint, change) {
 			setOwn(endpoint, addLoads(own.get(endpoint) ?? noLoad, change));
 		},
-		recordReading(endpoint, tokens, milliseconds) {
+		recordPrefill(endpoint, tokens, milliseconds) {
 			const before = own.get(endpoint) ?? noLoad;
 			setOwn(endpoint, {
-				...before, prefilledTokens: (before.prefilledTokens * keptPart) + tokens, prefillMs: (before.prefillMs * keptPart) + milliseconds,
+				...before, prefilledTokens: (before.prefilledTokens * prefillDecay) + tokens, prefillMs: (before.prefillMs * prefillDecay) + milliseconds,
 			});
 		},
-		setSilence(endpoint, witnesses, silent) {
+		setStallCounts(endpoint, observers, stalledObservers) {
 			const before = own.get(endpoint) ?? noLoad;
-			if (before.observers === witnesses && before.stalledObservers === silent) {
+			if (before.observers === observers && before.stalledObservers === stalledObservers) {
 				return;
 			}
 
-			setOwn(endpoint, {...before, observers: witnesses, stalledObservers: silent});
+			setOwn(endpoint, {...before, observers, stalledObservers});
 			suspects.add(endpoint);
 		},
-		listSilent() {
+		listStalled() {
 			for (const endpoint of suspects) {
 				if (get(endpoint).stalledObservers === 0) {
 					suspects.delete(endpoint);
@@ -87,8 +87,8 @@
 			}
 
 			return [...suspects].filter(endpoint => {
-				const {observers: witnesses, stalledObservers: silent} = get(endpoint);
-				return silent >= witnesses;
+				const {observers, stalledObservers} = get(endpoint);
+				return stalledObservers >= observers;
 			});
 		},
 		applyPeer(node, endpoint, load) {
@@ -122,9 +122,9 @@
 			}
 		},
 		takeChanged() {
-			const news = [...changed].map(endpoint => [endpoint, own.get(endpoint) ?? noLoad] as const);
+			const changedLoads = [...changed].map(endpoint => [endpoint, own.get(endpoint) ?? noLoad] as const);
 			changed.clear();
-			return news;
+			return changedLoads;
 		},
 		listOwn: () => [...own],
 	};
--- a/gateway/selection/src/create-pause-model.ts
+++ b/gateway/selection/src/create-pause-model.ts
@@ -1,6 +1,6 @@
 import type {PauseModel} from './pause-model.ts';
 
-type Exposure = {
+type RecentInterference = {
 	readonly sum: number;
 	readonly at: number;
 };
@@ -10,67 +10,67 @@
 */
 const unitMs = 100;
 /**
-How steeply harm grows with the pause: at four fifths of the objective a quarter of the streams are late, at the objective all.
+Exponent of interference by the pause: a quarter of the streams are late at four fifths of their objective, all at the objective.
 */
 const steepness = 6;
 /**
-Pauses of late that the estimate counts, those of them that it needs, and the part of them that are shorter than it.
+The longest pause is a quantile of the last pauses, once there are enough of them.
 */
-const pausesKept = 64;
-const fewestPauses = 12;
-const shorterShare = 0.9;
+const maximumPauses = 64;
+const minimumPauses = 12;
+const longestPauseQuantile = 0.9;
 /**
-Weight of the last stream in the mean time that streams last, and that mean before one has ended, in milliseconds.
+Weight of the latest stream in the mean duration of streams, and the initial mean.
 */
 const streamWeight = 0.05;
-const firstStreamMs = 2000;
+const initialStreamMs = 2000;
 /**
-Time over which an endpoint's reading is averaged, in milliseconds.
+Time constant of the decay of recent interference.
 */
-const averageMs = 3000;
+const decayMs = 3000;
 
 /**
- Creates the model of pauses of a pool. An engine reads prompts in parts between the tokens of its streams, so a stream
- pauses for as long as reading lasts, up to a longest pause that is learned: that of an engine that reads all the time.
+ Creates the pause model of a pool. An engine prefills prompts in parts between the tokens of its streams, so a stream
+ pauses for as long as the prefill lasts, up to a longest pause, which is learned from engines that prefill all the time.
 
  @example
  const pauses = createPauseModel();
- pauses.toHarm(200, 1) * pauses.toSensitivity(200); // 1
+ pauses.toInterference(200, 1) * pauses.toSensitivity(200); // 1
  */
 export function createPauseModel(): PauseModel {
-	const exposures = new Map<string, Exposure>();
+	const interferences = new Map<string, RecentInterference>();
 	let recent: number[] = [];
 	let longestMs = Infinity;
-	let streamMs = firstStreamMs;
+	let streamMs = initialStreamMs;
 
-	function toHarm(readMs: number, paceFactor: number): number {
-		return (Math.min(readMs, longestMs / paceFactor) / unitMs) ** steepness;
+	function toInterference(prefillMs: number, speedFactor: number): number {
+		return (Math.min(prefillMs, longestMs / speedFactor) / unitMs) ** steepness;
 	}
 
-	function measureExposure(endpoint: string): number {
-		const exposure = exposures.get(endpoint);
-		return exposure === undefined ? 0 : exposure.sum * Math.exp((exposure.at - performance.now()) / averageMs);
+	function measureRecentInterference(endpoint: string): number {
+		const interference = interferences.get(endpoint);
+		return interference === undefined ? 0 : interference.sum * Math.exp((interference.at - performance.now()) / decayMs);
 	}
 
 	return {
 		toSensitivity: pauseObjectiveMs => pauseObjectiveMs > 0 ? (unitMs / pauseObjectiveMs) ** steepness : 0,
-		toHarm,
-		recordReading(endpoint, readMs, paceFactor) {
-			exposures.set(endpoint, {sum: measureExposure(endpoint) + toHarm(readMs, paceFactor), at: performance.now()});
+		toInterference,
+		recordPrefill(endpoint, prefillMs, speedFactor) {
+			interferences.set(endpoint, {sum: measureRecentInterference(endpoint) + toInterference(prefillMs, speedFactor), at: performance.now()});
 		},
-		recordPause(pauseMs, paceFactor) {
-			recent = [...recent.slice(1 - pausesKept), pauseMs * paceFactor];
-			if (recent.length >= fewestPauses) {
-				longestMs = recent.toSorted((a, b) => a - b)[Math.floor(shorterShare * recent.length)] ?? Infinity;
+		recordPause(pauseMs, speedFactor) {
+			recent = [...recent.slice(1 - maximumPauses), pauseMs * speedFactor];
+			if (recent.length >= minimumPauses) {
+				longestMs = recent.toSorted((a, b) => a - b)[Math.floor(longestPauseQuantile * recent.length)] ?? Infinity;
 			}
 		},
 		recordStream(milliseconds) {
 			streamMs += (milliseconds - streamMs) * streamWeight;
 		},
-		predictHarm: endpoint => measureExposure(endpoint) * streamMs / averageMs,
+		predictInterference: endpoint => measureRecentInterference(endpoint) * streamMs / decayMs,
 		removeEndpoint(endpoint) {
-			exposures.delete(endpoint);
+			interferences.delete(endpoint);
 		},
-		pauseMs: () => longestMs,
+		getLongestPauseMs: () => longestMs,
 	};
 }
--- a/gateway/selection/src/create-agreed-holders.ts
+++ b/gateway/selection/src/create-preferred-endpoints.ts
@@ -1,26 +1,26 @@
 import {rankByHash} from '@valvesaddle/ranking';
-import type {AgreedHolders} from './agreed-holders.ts';
+import type {PreferredEndpoints} from './preferred-endpoints.ts';
 
 /**
-Prompts whose order of endpoints is kept; a hash for each endpoint would be worked out anew for each request otherwise.
+Prefixes whose order of endpoints is cached, which saves one hash per endpoint and request.
 */
-const mostKept = 2000;
+const maximumKeptOrders = 2000;
 
 /**
- Creates the table of agreed holders.
+ Creates the table of preferred endpoints, which ranks them by rendezvous hashing.
 
  @example
- const holders = createAgreedHolders();
- holders.find('5c1e,91bd', ['i-1', 'i-2'], new Set(['i-2'])); // 'i-2'
+ const preferences = createPreferredEndpoints();
+ preferences.find('5c1e,91bd', ['i-1', 'i-2'], new Set(['i-2'])); // 'i-2'
  */
-export function createAgreedHolders(): AgreedHolders {
+export function createPreferredEndpoints(): PreferredEndpoints {
 	const orders = new Map<string, readonly string[]>();
 
 	function getOrder(key: string, ready: readonly string[]): readonly string[] {
 		const order = orders.get(key) ?? rankByHash(key, ready);
 		orders.delete(key);
 		orders.set(key, order);
-		if (orders.size > mostKept) {
+		if (orders.size > maximumKeptOrders) {
 			const [oldest = ''] = orders.keys();
 			orders.delete(oldest);
 		}
--- a/gateway/selection/src/create-prompt-chooser.ts
+++ b/gateway/selection/src/create-prompt-chooser.ts
@@ -1,131 +1,130 @@
-import {countUnread} from './count-unread.ts';
-import {createAgreedHolders} from './create-agreed-holders.ts';
-import {createPaceModel} from './create-pace-model.ts';
+import {countPendingPrefill} from './count-pending-prefill.ts';
+import {createPreferredEndpoints} from './create-preferred-endpoints.ts';
+import {createSpeedModel} from './create-speed-model.ts';
 import {createPauseModel} from './create-pause-model.ts';
-import {createReadingRate} from './create-reading-rate.ts';
+import {createPrefillRate} from './create-prefill-rate.ts';
 import type {EndpointLoad} from './endpoint-load.ts';
 import type {KnownEndpoint} from './known-endpoint.ts';
 import type {LoadTable} from './load-table.ts';
 import {measureDelay} from './measure-delay.ts';
-import type {PaceModel} from './pace-model.ts';
+import type {SpeedModel} from './speed-model.ts';
 import type {PauseModel} from './pause-model.ts';
-import type {PrefixModel} from './prefix-model.ts';
+import type {PrefixCacheModel} from './prefix-cache-model.ts';
 import type {PromptChooser} from './prompt-chooser.ts';
 import type {Rating} from './rating.ts';
-import type {ReadingRate} from './reading-rate.ts';
+import type {PrefillRate} from './prefill-rate.ts';
 import type {SelectionCriteria} from './selection-criteria.ts';
 import type {SelectorOptions} from './selector-options.ts';
 
 /**
-Advantage of the endpoint that all nodes would take for a prompt, as a part of what reading its shared parts again would weigh:
-nodes that get the same prompt at once then agree on its first holder and on where its next copy goes, and nodes that start anew
-go where the prompt was sent before.
+Advantage of a prompt's preferred endpoint, as a share of the cost of prefilling its shared parts again. Nodes that get the same
+prefix at once, or have just started, thus send it to the same endpoint.
 */
-const sameChoiceShare = 0.1;
+const preferenceShare = 0.1;
 /**
-What a new connection costs: round trips, the endpoint's time to take it, and some 2 ms of the node's processor, of which small VMs have a part;
-in milliseconds.
+Cost of a new connection: round trips, and processor time of the endpoint and of a small VM.
 */
 const newConnectionMs = 10;
 /**
-How often endpoints are compared by their pace, in milliseconds.
+Interval between updates of the speed model.
 */
-const paceMs = 500;
+const speedUpdateMs = 500;
 
 type PromptChooserOptions = {
 	readonly settings: SelectorOptions;
 	readonly loads: Pick<LoadTable, 'get'>;
-	readonly prefixes: Pick<PrefixModel, 'countHeld' | 'countRecent'>;
+	readonly prefixes: Pick<PrefixCacheModel, 'countCached' | 'countRecent'>;
 };
 
 type PoolModel = {
-	readonly rate: ReadingRate;
-	readonly paces: PaceModel;
+	readonly rate: PrefillRate;
+	readonly speeds: SpeedModel;
 	readonly pauses: PauseModel;
-	pacedAt: number;
+	speedsUpdatedAt: number;
 	placedTokens: number;
 };
 
 /**
- Creates the chooser among model engines.
+ Creates the chooser among the endpoints of model engines.
 
  @example
  const chooser = createPromptChooser({settings, loads, prefixes});
- chooser.choose(ready, ready, question)?.endpoint.id;
+ chooser.choose(ready, ready, criteria)?.endpoint.id;
  */
 export function createPromptChooser({settings, loads, prefixes}: PromptChooserOptions): PromptChooser {
 	const pools = new Map<string, PoolModel>();
-	const holders = createAgreedHolders();
+	const preferences = createPreferredEndpoints();
 
 	function getPool(name: string): PoolModel {
 		const pool = pools.get(name) ?? {
-			rate: createReadingRate(settings.prefillTokensPerMs),
-			paces: createPaceModel(),
+			rate: createPrefillRate(settings.prefillTokensPerMs),
+			speeds: createSpeedModel(),
 			pauses: createPauseModel(),
-			pacedAt: -Infinity,
+			speedsUpdatedAt: -Infinity,
 			placedTokens: 0,
 		};
 		pools.set(name, pool);
 		return pool;
 	}
 
-	function updatePaces(pool: PoolModel, ready: readonly KnownEndpoint[]): void {
+	function updateSpeeds(pool: PoolModel, ready: readonly KnownEndpoint[]): void {
 		const now = performance.now();
-		if (now - pool.pacedAt < paceMs) {
+		if (now - pool.speedsUpdatedAt < speedUpdateMs) {
 			return;
 		}
 
-		pool.pacedAt = now;
-		pool.paces.update(new Map(ready.map(({incarnation}) => [incarnation, loads.get(incarnation)])));
+		pool.speedsUpdatedAt = now;
+		pool.speeds.update(new Map(ready.map(({incarnation}) => [incarnation, loads.get(incarnation)])));
 	}
 
 	/**
-	Streams that are expected to be late by their pauses: those that are open at the endpoint, and the request's own.
+	Predicts the number of streams that miss their pause objective because of prefill, by their weights: those open at the endpoint,
+	and the request's own.
 	*/
-	function measureHarm({pauses, paces, rate}: PoolModel, endpoint: string, load: EndpointLoad, unread: number, {pauseObjectiveMs}: SelectionCriteria): number {
-		const factor = paces.getFactor(endpoint);
-		const backlogMs = countUnread(load) / (rate.get() * factor);
-		const backlogHarm = pauses.toHarm(backlogMs, factor);
-		const added = pauses.toHarm(backlogMs + (unread / (rate.get() * factor)), factor) - backlogHarm;
+	function measureInterference({pauses, speeds, rate}: PoolModel, endpoint: string, load: EndpointLoad, uncachedTokens: number, {pauseObjectiveMs}: SelectionCriteria): number {
+		const factor = speeds.getFactor(endpoint);
+		const backlogMs = countPendingPrefill(load) / (rate.get() * factor);
+		const backlogInterference = pauses.toInterference(backlogMs, factor);
+		const added = pauses.toInterference(backlogMs + (uncachedTokens / (rate.get() * factor)), factor) - backlogInterference;
 		const others = Math.min(load.open, added * load.sensitivity);
-		const own = 1 - Math.exp(-(pauses.predictHarm(endpoint) + backlogHarm) * pauses.toSensitivity(pauseObjectiveMs));
+		const own = 1 - Math.exp(-(pauses.predictInterference(endpoint) + backlogInterference) * pauses.toSensitivity(pauseObjectiveMs));
 		return (settings.interferenceWeight * others) + (settings.riskWeight * own);
 	}
 
-	function findAgreed(ready: readonly KnownEndpoint[], candidates: readonly KnownEndpoint[], shared: SelectionCriteria['parts']): string | undefined {
+	function findPreferred(ready: readonly KnownEndpoint[], candidates: readonly KnownEndpoint[], shared: SelectionCriteria['parts']): string | undefined {
 		const key = shared.map(({id}) => id).join(',');
-		return holders.find(key, ready.map(({incarnation}) => incarnation), new Set(candidates.map(({incarnation}) => incarnation)));
+		return preferences.find(key, ready.map(({incarnation}) => incarnation), new Set(candidates.map(({incarnation}) => incarnation)));
 	}
 
-	function chooseBest(pool: PoolModel, ready: readonly KnownEndpoint[], candidates: readonly KnownEndpoint[], question: SelectionCriteria): Rating | undefined {
-		const {urgency} = question;
-		const shared = question.parts.slice(0, -1);
-		const recentTokens = prefixes.countRecent(question.parts);
-		const agreed = findAgreed(ready, candidates, shared);
-		const agreedMs = sameChoiceShare * settings.rereadMsPerToken * countTokens(shared);
+	function chooseBest(pool: PoolModel, ready: readonly KnownEndpoint[], candidates: readonly KnownEndpoint[], criteria: SelectionCriteria): Rating | undefined {
+		const {urgency} = criteria;
+		const shared = criteria.parts.slice(0, -1);
+		const recentTokens = prefixes.countRecent(criteria.parts);
+		const preferred = findPreferred(ready, candidates, shared);
+		const preferenceMs = preferenceShare * settings.rereadMsPerToken * countTokens(shared);
 		const tokensPerMs = pool.rate.get();
 		let best: (Rating & {readonly score: number}) | undefined;
 		for (const endpoint of candidates) {
-			const heldTokens = prefixes.countHeld(endpoint.incarnation, question.parts);
-			const unread = question.promptTokens - heldTokens;
+			const heldTokens = prefixes.countCached(endpoint.incarnation, criteria.parts);
+			const uncachedTokens = criteria.promptTokens - heldTokens;
 			const load = loads.get(endpoint.incarnation);
-			const endpointTokensPerMs = tokensPerMs * pool.paces.getFactor(endpoint.incarnation);
+			const endpointTokensPerMs = tokensPerMs * pool.speeds.getFactor(endpoint.incarnation);
 			const costMs = measureDelay({
-				load, slots: endpoint.slots, urgency, unread, tokensPerMs: endpointTokensPerMs,
+				load, slots: endpoint.slots, urgency, uncachedTokens, tokensPerMs: endpointTokensPerMs,
 			});
 			const wasteMs = Math.max(0, recentTokens - heldTokens) * settings.rereadMsPerToken;
 			const connectMs = settings.hasConnection?.(endpoint.address) === false ? newConnectionMs : 0;
-			const leastScore = costMs + wasteMs + connectMs - (endpoint.incarnation === agreed ? agreedMs : 0);
-			// Harm only adds, and is the dearest part to work out.
-			if (best !== undefined && leastScore >= best.score) {
+			const minimumScore = costMs + wasteMs + connectMs - (endpoint.incarnation === preferred ? preferenceMs : 0);
+			// Interference only adds to the score and is the most expensive part to compute.
+			if (best !== undefined && minimumScore >= best.score) {
 				continue;
 			}
 
-			const harmMs = question.objectiveMs * measureHarm(pool, endpoint.incarnation, load, unread, question);
-			const score = leastScore + harmMs;
+			const harmMs = criteria.objectiveMs * measureInterference(pool, endpoint.incarnation, load, uncachedTokens, criteria);
+			const score = minimumScore + harmMs;
 			if (best === undefined || score < best.score) {
 				best = {
-					endpoint, heldTokens, costMs, readMs: unread / endpointTokensPerMs, harmMs, urgency, score, candidates: candidates.length,
+					endpoint, heldTokens, costMs, readMs: uncachedTokens / endpointTokensPerMs, harmMs, urgency, score, candidates: candidates.length,
 				};
 			}
 		}
@@ -134,32 +133,32 @@
 	}
 
 	return {
-		choose(ready, candidates, question) {
-			const pool = getPool(question.pool);
-			updatePaces(pool, ready);
-			return chooseBest(pool, ready, candidates, question);
+		choose(ready, candidates, criteria) {
+			const pool = getPool(criteria.pool);
+			updateSpeeds(pool, ready);
+			return chooseBest(pool, ready, candidates, criteria);
 		},
-		recordDemand(name, endpoint, tokens) {
+		recordPlacement(name, endpoint, tokens) {
 			const pool = getPool(name);
-			const {rate, paces, pauses} = pool;
+			const {rate, speeds, pauses} = pool;
 			pool.placedTokens += tokens;
-			const factor = paces.getFactor(endpoint);
-			pauses.recordReading(endpoint, tokens / (rate.get() * factor), factor);
+			const factor = speeds.getFactor(endpoint);
+			pauses.recordPrefill(endpoint, tokens / (rate.get() * factor), factor);
 		},
-		recordReading(pool, tokens, milliseconds) {
+		recordPrefill(pool, tokens, milliseconds) {
 			getPool(pool).rate.record(tokens, milliseconds);
 		},
-		getPace(name, endpoint) {
-			const {rate, paces} = getPool(name);
-			const factor = paces.getFactor(endpoint);
+		getSpeed(name, endpoint) {
+			const {rate, speeds} = getPool(name);
+			const factor = speeds.getFactor(endpoint);
 			return {factor, tokensPerMs: rate.get() * factor};
 		},
-		getReading(name) {
+		getPrefillRate(name) {
 			const {placedTokens, rate} = getPool(name);
 			return {placedTokens, tokensPerMs: rate.get()};
 		},
-		getPauses: name => getPool(name).pauses,
-		markChanged: holders.clear,
+		getPauseModel: name => getPool(name).pauses,
+		markChanged: preferences.clear,
 		removeEndpoint(endpoint) {
 			for (const {pauses} of pools.values()) {
 				pauses.removeEndpoint(endpoint);
--- a/gateway/selection/src/create-selector.ts
+++ b/gateway/selection/src/create-selector.ts
@@ -3,10 +3,10 @@
 import {createCooldownTable} from './create-cooldown-table.ts';
 import {createFailureTable} from './create-failure-table.ts';
 import {createLoadTable} from './create-load-table.ts';
-import {createPrefixModel} from './create-prefix-model.ts';
+import {createPrefixCacheModel} from './create-prefix-cache-model.ts';
 import {createPromptChooser} from './create-prompt-chooser.ts';
-import {createSilenceGuard} from './create-silence-guard.ts';
-import {createWorkBook} from './create-work-book.ts';
+import {createStallMonitor} from './create-stall-monitor.ts';
+import {createRequestTracker} from './create-request-tracker.ts';
 import {formatIncarnation} from './format-incarnation.ts';
 import type {KnownEndpoint} from './known-endpoint.ts';
 import type {LoadUpdate} from './load-update.ts';
@@ -18,51 +18,51 @@
 import type {SelectorOptions} from './selector-options.ts';
 
 /**
-Incarnations whose names are kept: some hours of restarts of a large fleet, while late news come within seconds.
+Remembered incarnations: enough for hours of restarts of a large fleet, while late load updates arrive within seconds.
 */
-const mostIncarnations = 2000;
+const maximumIncarnations = 2000;
 
 /**
  Creates the selector of a node.
 
  @example
- const selector = createSelector({harmWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50});
+ const selector = createSelector({interferenceWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50});
  selector.addEndpoint(endpoint);
  const selection = selector.choose({pool: 'drafting', promptTokens: 900, parts, tried: new Set()});
  */
 export function createSelector(options: SelectorOptions): Selector {
 	const endpoints = new Map<string, KnownEndpoint>();
 	/**
-	Incarnations that are known to be gone.
+	Incarnations whose endpoint was removed or started again.
 	*/
-	const outdated = createBoundedSet(mostIncarnations);
+	const removed = createBoundedSet(maximumIncarnations);
 	const pools = new Map<string, ServicePool>();
 	const loads = createLoadTable();
-	const prefixes = createPrefixModel({reuseMs: options.reuseMs});
+	const prefixes = createPrefixCacheModel({reuseMs: options.reuseMs});
 	const failures = createFailureTable();
 	const cooldowns = createCooldownTable();
 	/**
-	Incarnations that said in an answer that they leave; their entries may lag behind.
+	Incarnations that announced in an answer that they drain; their entries may still say `ready`.
 	*/
-	const leaving = createBoundedSet(mostIncarnations);
+	const draining = createBoundedSet(maximumIncarnations);
 	const chooser = createPromptChooser({settings: options, loads, prefixes});
 	let unseenFactor = 1;
-	let newsAt: number | undefined;
+	let lastUpdateAt: number | undefined;
 	let placements: Placement[] = [];
-	const guard = createSilenceGuard({
+	const stallMonitor = createStallMonitor({
 		loads,
-		measurePauseMs: pool => chooser.getPauses(pool).pauseMs(),
-		onDark(endpoint) {
+		measureLongestPauseMs: pool => chooser.getPauseModel(pool).getLongestPauseMs(),
+		onStalled(endpoint) {
 			if (!failures.isEjected(endpoint)) {
 				failures.eject(endpoint);
 			}
 		},
 	});
-	const book = createWorkBook({
+	const tracker = createRequestTracker({
 		loads,
 		failures,
 		chooser,
-		guard,
+		stallMonitor,
 		onPlacement(placement) {
 			addPlacement(placement);
 			placements.push(placement);
@@ -72,26 +72,26 @@
 
 	function addPlacement(placement: Placement): void {
 		prefixes.add(placement);
-		chooser.recordDemand(placement.pool, placement.endpoint, placement.tokens);
+		chooser.recordPlacement(placement.pool, placement.endpoint, placement.tokens);
 	}
 
-	function isCooling(incarnation: string): boolean {
+	function hasCooldown(incarnation: string): boolean {
 		return cooldowns.getRemainingMs(incarnation) > 0;
 	}
 
 	/**
-	Whether an endpoint takes requests but for a cooldown, by its entry and by its own word.
+	Whether an endpoint is ready by its entry and has not announced that it drains; cooldowns are checked separately.
 	*/
 	function isReady({state, incarnation}: KnownEndpoint): boolean {
-		return state === 'ready' && !leaving.has(incarnation);
+		return state === 'ready' && !draining.has(incarnation);
 	}
 
-	function markLeaving(incarnation: string): void {
-		if (leaving.has(incarnation)) {
+	function markDraining(incarnation: string): void {
+		if (draining.has(incarnation)) {
 			return;
 		}
 
-		leaving.add(incarnation);
+		draining.add(incarnation);
 		chooser.markChanged();
 	}
 
@@ -100,37 +100,37 @@
 	}
 
 	/**
-	The first of the lists that is not empty: an endpoint that fails is better than none, but what one asked for holds.
+	Endpoints that were not tried and have no cooldown: the healthy ones, or the ejected ones if there are no others.
 	*/
 	function listCandidates(ready: readonly KnownEndpoint[], tried: ReadonlySet<string>): readonly KnownEndpoint[] {
-		const untried = ready.filter(({incarnation}) => !tried.has(incarnation) && !isCooling(incarnation));
-		const sound = untried.filter(({incarnation}) => !failures.isEjected(incarnation));
-		return sound.length > 0 ? sound : untried;
+		const untried = ready.filter(({incarnation}) => !tried.has(incarnation) && !hasCooldown(incarnation));
+		const healthy = untried.filter(({incarnation}) => !failures.isEjected(incarnation));
+		return healthy.length > 0 ? healthy : untried;
 	}
 
-	function chooseByLoad(candidates: readonly KnownEndpoint[], question: SelectionCriteria): Rating | undefined {
+	function chooseByLoad(candidates: readonly KnownEndpoint[], criteria: SelectionCriteria): Rating | undefined {
 		const rated = candidates.map(endpoint => ({
-			endpoint, heldTokens: 0, costMs: (loads.get(endpoint.incarnation).open + Math.random()) / endpoint.slots, readMs: 0, harmMs: 0, urgency: question.urgency, candidates: candidates.length,
+			endpoint, heldTokens: 0, costMs: (loads.get(endpoint.incarnation).open + Math.random()) / endpoint.slots, readMs: 0, harmMs: 0, urgency: criteria.urgency, candidates: candidates.length,
 		}));
 		return rated.toSorted((a, b) => a.costMs - b.costMs)[0];
 	}
 
-	function choose(question: SelectionCriteria): Selection | undefined {
-		const ready = listReady(question.pool);
-		const candidates = listCandidates(ready, question.tried);
-		const rating = pools.get(question.pool)?.engine === undefined
-			? chooseByLoad(candidates, question)
-			: chooser.choose(ready, candidates, question);
-		return rating && {...rating, unseenFactor, newsAgeMs: newsAt === undefined ? -1 : Math.round(performance.now() - newsAt)};
+	function choose(criteria: SelectionCriteria): Selection | undefined {
+		const ready = listReady(criteria.pool);
+		const candidates = listCandidates(ready, criteria.tried);
+		const rating = pools.get(criteria.pool)?.engine === undefined
+			? chooseByLoad(candidates, criteria)
+			: chooser.choose(ready, candidates, criteria);
+		return rating && {...rating, unseenFactor, newsAgeMs: lastUpdateAt === undefined ? -1 : Math.round(performance.now() - lastUpdateAt)};
 	}
 
 	/**
-	A peer that has not heard of a new incarnation yet still tells of the one before.
+	Drops rows of removed incarnations, which peers send until they know the new one.
 	*/
-	function takeCurrent({loads: told, placements: sent}: LoadUpdate): LoadUpdate {
+	function removeStale({loads: peerLoads, placements: peerPlacements}: LoadUpdate): LoadUpdate {
 		return {
-			loads: told.filter(([endpoint]) => !outdated.has(endpoint)),
-			placements: sent.filter(({endpoint}) => !outdated.has(endpoint)),
+			loads: peerLoads.filter(([endpoint]) => !removed.has(endpoint)),
+			placements: peerPlacements.filter(({endpoint}) => !removed.has(endpoint)),
 		};
 	}
 
@@ -142,22 +142,22 @@
 		const known = {...endpoint, incarnation: formatIncarnation(endpoint)};
 		endpoints.set(endpoint.id, known);
 		chooser.markChanged();
-		outdated.remove(known.incarnation);
+		removed.remove(known.incarnation);
 		updateCapacity(known);
 	}
 
 	/**
-	Makes every keeper forget an incarnation; the book last, since requests that it tells choose again.
+	Removes an incarnation from all tables. The tracker is last, since requests whose handlers it calls choose again.
 	*/
 	function removeIncarnation(incarnation: string, endedAt: number): void {
-		outdated.add(incarnation);
+		removed.add(incarnation);
 		loads.removeEndpoint(incarnation);
 		prefixes.removeEndpoint(incarnation);
 		failures.removeEndpoint(incarnation);
-		guard.removeEndpoint(incarnation);
+		stallMonitor.removeEndpoint(incarnation);
 		chooser.removeEndpoint(incarnation);
 		placements = placements.filter(({endpoint}) => endpoint !== incarnation);
-		book.removeEndpoint(incarnation, endedAt);
+		tracker.removeEndpoint(incarnation, endedAt);
 	}
 
 	return {
@@ -167,7 +167,7 @@
 			endpoints.delete(id);
 			chooser.markChanged();
 			if (known !== undefined) {
-				// Its process may go on for a while, so its requests are left to it.
+				// Its process may still finish its requests, so none is reported as ended.
 				removeIncarnation(known.incarnation, -Infinity);
 			}
 		},
@@ -189,34 +189,34 @@
 			}
 		},
 		choose,
-		open: book.open,
+		open: tracker.open,
 		applyNotice(incarnation, {retryAfterMs, isLeaving}) {
 			if (retryAfterMs !== undefined) {
 				cooldowns.start(incarnation, retryAfterMs);
 			}
 
 			if (isLeaving) {
-				markLeaving(incarnation);
+				markDraining(incarnation);
 			}
 		},
 		canTake({id, incarnation}) {
 			const known = endpoints.get(id);
-			return known?.incarnation === incarnation && isReady(known) && !isCooling(incarnation);
+			return known?.incarnation === incarnation && isReady(known) && !hasCooldown(incarnation);
 		},
 		getCooldownMs(pool) {
 			const remaining = listReady(pool).map(({incarnation}) => cooldowns.getRemainingMs(incarnation));
 			return remaining.length === 0 ? 0 : Math.min(...remaining);
 		},
 		takeLoadUpdate() {
-			guard.update(endpoints.values());
-			const news = {loads: loads.takeChanged(), placements};
+			stallMonitor.update(endpoints.values());
+			const update = {loads: loads.takeChanged(), placements};
 			placements = [];
-			return news.loads.length === 0 && news.placements.length === 0 ? undefined : news;
+			return update.loads.length === 0 && update.placements.length === 0 ? undefined : update;
 		},
 		listOwn: () => ({loads: loads.listOwn(), placements: []}),
-		applyLoadUpdate(node, news) {
-			newsAt = performance.now();
-			const current = takeCurrent(news);
+		applyLoadUpdate(node, update) {
+			lastUpdateAt = performance.now();
+			const current = removeStale(update);
 			for (const [endpoint, load] of current.loads) {
 				loads.applyPeer(node, endpoint, load);
 			}
@@ -232,7 +232,7 @@
 			loads.setUnseenFactor(factor);
 		},
 		measurePoolLoad: pool => ({
-			...chooser.getReading(pool),
+			...chooser.getPrefillRate(pool),
 			open: listReady(pool).reduce((sum, {incarnation}) => sum + loads.get(incarnation).open, 0),
 		}),
 		removeNode: loads.removePeer,
--- a/gateway/selection/src/endpoint-load.ts
+++ b/gateway/selection/src/endpoint-load.ts
@@ -1,26 +1,29 @@
 /**
-Work of one node at one endpoint.
+Load of one endpoint: of one node's requests, or a sum over several nodes.
 */
 export type EndpointLoad = {
 	/**
-	Requests that are open.
+	Open requests.
 	*/
 	readonly open: number;
 	/**
-	Prompt tokens that are still to be read before first tokens, by the rank of their requests, 0 first.
+	Prompt tokens that are still to be prefilled, by the rank of their requests, 0 first.
 	*/
 	readonly pendingPrefill: readonly number[];
 	/**
-	How much its open streams suffer from pauses: the sum of their sensitivities.
+	Sum of the sensitivities of its open streams.
 	*/
 	readonly sensitivity: number;
 	/**
-	1 when the node ought to have heard of it of late, and 1 when it has not.
+	Nodes that expect chunks from the endpoint.
 	*/
 	readonly observers: number;
+	/**
+	Those of them that have received none in time.
+	*/
 	readonly stalledObservers: number;
 	/**
-	Prompt tokens that it read of late, with those that were before them, and the milliseconds that this took: its pace.
+	Prompt tokens that it prefilled recently, including those queued before them, and the time that this took: its speed.
 	*/
 	readonly prefilledTokens: number;
 	readonly prefillMs: number;
--- a/gateway/selection/src/failure-table.ts
+++ b/gateway/selection/src/failure-table.ts
@@ -1,16 +1,19 @@
 /**
-Endpoints that this node has seen fail or refuse.
+Endpoints that failed or refused requests of this node.
 */
 export type FailureTable = {
 	readonly record: (endpoint: string, isFailed: boolean) => void;
 	/**
-	Records that an endpoint refused a request before running it: it is sound, and passed over for a moment.
+	Records that an endpoint refused a request before running it: it is healthy, but skipped for a short time.
 	*/
 	readonly recordRefusal: (endpoint: string) => void;
 	/**
 	Ejects an endpoint at once.
 	*/
 	readonly eject: (endpoint: string) => void;
+	/**
+	Whether an endpoint is ejected or skipped after a refusal.
+	*/
 	readonly isEjected: (endpoint: string) => boolean;
 	readonly removeEndpoint: (endpoint: string) => void;
 };
--- a/gateway/selection/src/format-incarnation.ts
+++ b/gateway/selection/src/format-incarnation.ts
@@ -2,12 +2,12 @@
 
 const separator = '~';
 /**
-Base of the time in a name: news of work carry a name for each endpoint, so it is short.
+Base of the start time; IDs are kept short because each row of a load update carries one.
 */
 const base = 36;
 
 /**
- Names the incarnation of an endpoint: its id, and when its process started where that is known.
+ Formats the ID of an endpoint's incarnation: the endpoint's ID and, if known, when its process started.
 
  @example
  formatIncarnation({id: 'i-7f', born: 1_790_000_000_000}); // 'i-7f~mubbs7i8'
--- a/gateway/selection/src/known-endpoint.ts
+++ b/gateway/selection/src/known-endpoint.ts
@@ -1,7 +1,7 @@
 import type {ServingEndpoint} from '@valvesaddle/gateway-types';
 
 /**
-An endpoint with the name of its incarnation, under which all is kept that belongs to its process.
+An endpoint with the ID of its incarnation, which keys all state of its process.
 */
 export type KnownEndpoint = ServingEndpoint & {
 	readonly incarnation: string;
--- a/gateway/selection/src/load-table.ts
+++ b/gateway/selection/src/load-table.ts
@@ -1,36 +1,42 @@
 import type {EndpointLoad} from './endpoint-load.ts';
 
 /**
-Work at each endpoint, the node's own and what its peers have told.
+Load of each endpoint: the node's own and what its peers have reported.
 */
 export type LoadTable = {
+	/**
+	Sum over all nodes.
+	*/
 	readonly get: (endpoint: string) => EndpointLoad;
 	/**
-	Adds to the node's own work.
+	Adds to the node's own load.
 	*/
 	readonly add: (endpoint: string, change: EndpointLoad) => void;
 	/**
-	Notes that an endpoint read so many prompt tokens in so many milliseconds.
+	Records that an endpoint prefilled this many prompt tokens in this many milliseconds.
 	*/
-	readonly recordReading: (endpoint: string, tokens: number, milliseconds: number) => void;
+	readonly recordPrefill: (endpoint: string, tokens: number, milliseconds: number) => void;
 	/**
-	Sets whether this node ought to have heard of an endpoint, and whether it has not.
+	Sets whether this node expects chunks from an endpoint, and whether it finds the endpoint stalled; each 0 or 1.
 	*/
-	readonly setSilence: (endpoint: string, witnesses: number, silent: number) => void;
+	readonly setStallCounts: (endpoint: string, observers: number, stalledObservers: number) => void;
 	/**
-	Endpoints from which no node has heard that ought to have.
+	Endpoints that all nodes that expect chunks find stalled.
 	*/
-	readonly listSilent: () => readonly string[];
+	readonly listStalled: () => readonly string[];
 	readonly applyPeer: (node: string, endpoint: string, load: EndpointLoad) => void;
+	/**
+	Sets the factor that extrapolates the known load to the whole fleet while peers are unreachable.
+	*/
 	readonly setUnseenFactor: (factor: number) => void;
 	readonly removePeer: (node: string) => void;
 	readonly removeEndpoint: (endpoint: string) => void;
 	/**
-	The node's own work at endpoints where it has changed since the last call.
+	Takes the node's own load of endpoints where it has changed since the last call.
 	*/
 	readonly takeChanged: () => ReadonlyArray<readonly [endpoint: string, load: EndpointLoad]>;
 	/**
-	The node's own work at all endpoints.
+	The node's own load of all endpoints.
 	*/
 	readonly listOwn: () => ReadonlyArray<readonly [endpoint: string, load: EndpointLoad]>;
 };
--- a/gateway/selection/src/load-update.ts
+++ b/gateway/selection/src/load-update.ts
@@ -2,8 +2,8 @@
 import type {Placement} from './placement.ts';
 
 /**
-What one node tells its peers of its own work: loads that have changed, in full, and new placements. Endpoints are told by the
-names of their incarnations.
+Load update that a node sends its peers: its own loads that have changed, in full, and new placements. Endpoints are identified by
+their incarnations.
 */
 export type LoadUpdate = {
 	readonly loads: ReadonlyArray<readonly [endpoint: string, load: EndpointLoad]>;
--- a/gateway/selection/src/measure-delay.ts
+++ b/gateway/selection/src/measure-delay.ts
@@ -1,46 +1,45 @@
 import type {EndpointLoad} from './endpoint-load.ts';
 
-type DelayQuestion = {
+type DelayInput = {
 	readonly load: EndpointLoad;
 	readonly slots: number;
 	readonly urgency: number;
 	/**
-	Tokens of the prompt that the engine does not hold.
+	Prompt tokens that the engine has not cached.
 	*/
-	readonly unread: number;
+	readonly uncachedTokens: number;
 	readonly tokensPerMs: number;
 };
 
 /**
-Delay that one more open stream adds for the others, in milliseconds; small, so that it only settles ties.
+Delay by each open stream; small, so that it only breaks ties.
 */
 const msPerOpenStream = 3;
 /**
-Wait for one more request beyond an engine's slots, in milliseconds: about the time between two ends at a full engine.
+Wait for each request beyond an engine's slots: about the time until the next request ends at a full engine.
 */
 const msPerQueued = 40;
 /**
-Part of the less urgent tokens that are still read first, since a prompt that was begun is read to its end, and the most of
-them, in tokens.
+Less urgent tokens that are still prefilled first, since a prefill that has started is completed: their share, and their maximum.
 */
-const begunShare = 0.5;
-const mostBegun = 4000;
+const startedShare = 0.5;
+const maximumStartedTokens = 4000;
 
 /**
- Predicts the delay until a prompt's first token, in milliseconds. Engines read prompts by their rank.
+ Predicts the delay until a prompt's first token, in milliseconds. Engines prefill prompts in the order of their ranks.
 
  @example
- measureDelay({load: noLoad, slots: 64, urgency: 0, unread: 500, tokensPerMs: 50}); // 10
+ measureDelay({load: noLoad, slots: 64, urgency: 0, uncachedTokens: 500, tokensPerMs: 50}); // 10
  */
-export function measureDelay({load, slots, urgency, unread, tokensPerMs}: DelayQuestion): number {
+export function measureDelay({load, slots, urgency, uncachedTokens, tokensPerMs}: DelayInput): number {
 	let before = 0;
-	let behind = 0;
+	let after = 0;
 	for (const [rank, tokens] of load.pendingPrefill.entries()) {
 		before += rank <= urgency ? tokens : 0;
-		behind += rank > urgency ? tokens : 0;
+		after += rank > urgency ? tokens : 0;
 	}
 
-	const begun = Math.min(mostBegun, begunShare * behind);
+	const started = Math.min(maximumStartedTokens, startedShare * after);
 	const queueMs = Math.max(0, load.open + 1 - slots) * msPerQueued;
-	return ((before + begun + unread) / tokensPerMs) + (load.open * msPerOpenStream) + queueMs;
+	return ((before + started + uncachedTokens) / tokensPerMs) + (load.open * msPerOpenStream) + queueMs;
 }
--- a/gateway/selection/src/open-request.ts
+++ b/gateway/selection/src/open-request.ts
@@ -3,26 +3,26 @@
 */
 export type OpenRequest = {
 	/**
-	A piece of the answer has come; the first one shows that the prompt was read.
+	Records a chunk of the answer; the first one shows that the prompt is prefilled.
 	*/
 	readonly markChunk: () => void;
 	/**
-	The caller reads slowly, so that the endpoint has to wait.
+	Records that the endpoint has to wait because the caller reads slowly.
 	*/
 	readonly markPaused: () => void;
 	/**
-	Sets what is to be done when no node hears of the endpoint any more.
+	Sets a handler that is called when the endpoint is stalled for all nodes that expect chunks from it.
 	*/
 	readonly onStalled: (handler: () => void) => void;
 	/**
-	Sets what is to be done when the process that it was sent to is known to have ended.
+	Sets a handler that is called when the process that the request was sent to is known to have ended.
 	*/
 	readonly onEnded: (handler: () => void) => void;
-	readonly close: (end: WorkEnd) => void;
+	readonly close: (end: RequestEnd) => void;
 };
 
 /**
-How a request ended at an endpoint: `done`, `failed` by the endpoint, `rejected` before it ran, `gone` when the endpoint
-could not be reached or another one answers at its address, or `cancelled` by us.
+How a request ended at an endpoint: `done`, `failed` by the endpoint, `rejected` before it ran, `gone` if the endpoint
+was unreachable or another one answers at its address, or `cancelled` by the gateway.
 */
-type WorkEnd = 'done' | 'failed' | 'rejected' | 'gone' | 'cancelled';
+type RequestEnd = 'done' | 'failed' | 'rejected' | 'gone' | 'cancelled';
--- a/gateway/selection/src/pause-model.ts
+++ b/gateway/selection/src/pause-model.ts
@@ -1,32 +1,36 @@
 /**
-How reading prompts delays the tokens of streams beside it. Times are in milliseconds.
+How prefill delays the tokens of open streams at the endpoints of a pool. Times are in milliseconds. Speed factors are relative to
+the pool's median.
 */
 export type PauseModel = {
 	/**
-	Sensitivity of a stream: how much of it is lost for one unit of harm.
+	Sensitivity of a stream: the expected share of it that is late for one unit of interference.
 	*/
 	readonly toSensitivity: (pauseObjectiveMs: number) => number;
 	/**
-	Harm that reading for so long does, for each unit of sensitivity.
+	Interference by a prefill of this duration, for each unit of sensitivity.
 	*/
-	readonly toHarm: (readMs: number, paceFactor: number) => number;
+	readonly toInterference: (prefillMs: number, speedFactor: number) => number;
 	/**
-	Notes that an endpoint is to read for so long on end.
+	Records that an endpoint gets a prefill of this duration.
 	*/
-	readonly recordReading: (endpoint: string, readMs: number, paceFactor: number) => void;
+	readonly recordPrefill: (endpoint: string, prefillMs: number, speedFactor: number) => void;
 	/**
-	Notes a pause between pieces at an endpoint that was reading all the while.
+	Records a pause between chunks at an endpoint that was prefilling all the time.
 	*/
-	readonly recordPause: (pauseMs: number, paceFactor: number) => void;
+	readonly recordPause: (pauseMs: number, speedFactor: number) => void;
 	/**
-	Notes how long a stream lasted.
+	Records the duration of a stream.
 	*/
 	readonly recordStream: (milliseconds: number) => void;
 	/**
-	Harm that a stream may expect at an endpoint while it lasts, by what the endpoint read of late, for each unit of
-	sensitivity.
+	Expected interference with a new stream at an endpoint over its whole duration, by the endpoint's recent prefill, for each
+	unit of sensitivity.
 	*/
-	readonly predictHarm: (endpoint: string) => number;
+	readonly predictInterference: (endpoint: string) => number;
 	readonly removeEndpoint: (endpoint: string) => void;
-	readonly pauseMs: () => number;
+	/**
+	Longest pause that prefill causes; infinite until enough pauses are recorded.
+	*/
+	readonly getLongestPauseMs: () => number;
 };
--- a/gateway/selection/src/placement.ts
+++ b/gateway/selection/src/placement.ts
@@ -3,7 +3,7 @@
 */
 export type Placement = {
 	/**
-	Name of its incarnation.
+	ID of the endpoint's incarnation.
 	*/
 	readonly endpoint: string;
 	readonly pool: string;
--- a/gateway/selection/src/pool-load.ts
+++ b/gateway/selection/src/pool-load.ts
@@ -1,17 +1,17 @@
 /**
-Work of a pool, as all nodes have told it.
+Load of a pool, summed over all nodes.
 */
 export type PoolLoad = {
 	/**
-	Requests that are open at its endpoints.
+	Open requests at its endpoints.
 	*/
 	readonly open: number;
 	/**
-	Tokens of prompts that were placed so far at engines that did not hold them.
+	Total of prompt tokens sent so far to engines that had not cached them.
 	*/
 	readonly placedTokens: number;
 	/**
-	Tokens that an engine reads in a millisecond, as learned.
+	Learned prefill rate of an engine, in tokens per millisecond.
 	*/
 	readonly tokensPerMs: number;
 };
--- a/gateway/selection/src/prefix-model.ts
+++ b/gateway/selection/src/prefix-cache-model.ts
@@ -2,18 +2,21 @@
 import type {Placement} from './placement.ts';
 
 /**
-Which parts of prompts each endpoint is believed to hold. A hint only: nothing depends on it but time.
+Estimates which prompt parts each endpoint has cached. A wrong estimate costs only time.
 */
-export type PrefixModel = {
+export type PrefixCacheModel = {
 	readonly add: (placement: Placement) => void;
 	/**
-	Tokens of the prompt's leading shared parts that the endpoint holds.
+	Tokens of the prompt's leading shared parts that the endpoint has cached.
 	*/
-	readonly countHeld: (endpoint: string, parts: readonly PromptPart[]) => number;
+	readonly countCached: (endpoint: string, parts: readonly PromptPart[]) => number;
 	/**
-	Tokens of the prompt's shared parts that some endpoint has read of late, so that reading them again is waste.
+	Tokens of the prompt's shared parts that were recently used at some endpoint, so that prefilling them again is waste.
 	*/
 	readonly countRecent: (parts: readonly PromptPart[]) => number;
+	/**
+	Sets the size of an endpoint's cache, in tokens.
+	*/
 	readonly setCapacity: (endpoint: string, tokens: number) => void;
 	readonly removeEndpoint: (endpoint: string) => void;
 };
--- a/gateway/selection/src/prompt-chooser.ts
+++ b/gateway/selection/src/prompt-chooser.ts
@@ -5,33 +5,33 @@
 import type {SelectionCriteria} from './selection-criteria.ts';
 
 /**
-Chooses among model engines: by prompts that they hold, work that they have, and the pauses that reading would cause.
+Chooses among the endpoints of model engines by their cached prompts, their load, and the pauses that the prefill would cause.
 */
 export type PromptChooser = {
 	/**
-	The endpoints that serve have changed.
+	To be called when the ready endpoints change.
 	*/
 	readonly markChanged: () => void;
 	/**
-	Best of the candidates, which are some of the endpoints that are ready; `undefined` when there are none.
+	Best of the candidates, which are some of the ready endpoints; `undefined` if there are none.
 	*/
-	readonly choose: (ready: readonly KnownEndpoint[], candidates: readonly KnownEndpoint[], question: SelectionCriteria) => Rating | undefined;
+	readonly choose: (ready: readonly KnownEndpoint[], candidates: readonly KnownEndpoint[], criteria: SelectionCriteria) => Rating | undefined;
 	/**
-	Records tokens that an endpoint has to read for a prompt, on whichever node.
+	Records that any node sent an endpoint a prompt of which it has to prefill this many tokens.
 	*/
-	readonly recordDemand: (pool: string, endpoint: string, tokens: number) => void;
+	readonly recordPlacement: (pool: string, endpoint: string, tokens: number) => void;
 	/**
-	Records that an endpoint of a pool read so many tokens for a prompt within so many milliseconds.
+	Records that an endpoint of a pool prefilled this many tokens in this many milliseconds.
 	*/
-	readonly recordReading: (pool: string, tokens: number, milliseconds: number) => void;
+	readonly recordPrefill: (pool: string, tokens: number, milliseconds: number) => void;
 	/**
-	Pace of an endpoint against the pool's median, and tokens that it reads in a millisecond.
+	Prefill speed of an endpoint: relative to the pool's median, and in tokens per millisecond.
 	*/
-	readonly getPace: (pool: string, endpoint: string) => {readonly factor: number; readonly tokensPerMs: number};
-	readonly getPauses: (pool: string) => PauseModel;
+	readonly getSpeed: (pool: string, endpoint: string) => {readonly factor: number; readonly tokensPerMs: number};
+	readonly getPauseModel: (pool: string) => PauseModel;
 	/**
-	Tokens of prompts that were placed in a pool so far, and what a usual engine of it reads in a millisecond.
+	Total of prompt tokens to prefill in a pool so far, and the prefill rate of a typical engine.
 	*/
-	readonly getReading: (pool: string) => Omit<PoolLoad, 'open'>;
+	readonly getPrefillRate: (pool: string) => Omit<PoolLoad, 'open'>;
 	readonly removeEndpoint: (endpoint: string) => void;
 };
--- a/gateway/selection/src/rating.ts
+++ b/gateway/selection/src/rating.ts
@@ -1,7 +1,7 @@
 import type {KnownEndpoint} from './known-endpoint.ts';
 
 /**
-An endpoint with what speaks for it.
+An endpoint with the predictions that it was compared by.
 */
 export type Rating = {
 	readonly endpoint: KnownEndpoint;
@@ -10,11 +10,12 @@
 	*/
 	readonly costMs: number;
 	/**
-	Part of it that is spent on reading the request's own prompt.
+	Part of it that is the prefill of the request's own prompt.
 	*/
 	readonly readMs: number;
 	/**
-	Weight of the streams that are expected to be late by pauses there, the request's own included, in milliseconds of delay.
+	Cost of the prefill interference, in milliseconds of delay: the weighted number of streams that are expected to miss their
+	pause objective there, including the request's own, in latency objectives.
 	*/
 	readonly harmMs: number;
 	/**
@@ -22,11 +23,11 @@
 	*/
 	readonly urgency: number;
 	/**
-	Prompt tokens that the endpoint is believed to hold.
+	Prompt tokens that the endpoint is estimated to have cached.
 	*/
 	readonly heldTokens: number;
 	/**
-	Endpoints that were compared.
+	Number of endpoints that were compared.
 	*/
 	readonly candidates: number;
 };
--- a/gateway/selection/src/remove-load.ts
+++ b/gateway/selection/src/remove-load.ts
@@ -2,7 +2,7 @@
 import type {EndpointLoad} from './endpoint-load.ts';
 
 /**
- Takes a part out of a sum of loads; requests, prompts and sensitivity do not fall below 0.
+ Subtracts a load from a sum; requests, pending prompt tokens and sensitivity do not fall below 0.
 
  @example
  removeLoad({...noLoad, open: 3}, {...noLoad, open: 2}).open; // 1
--- a/gateway/selection/src/selection-criteria.ts
+++ b/gateway/selection/src/selection-criteria.ts
@@ -10,7 +10,7 @@
 	*/
 	readonly objectiveMs: number;
 	/**
-	Longest pause between pieces that is still in time, in milliseconds; 0 when none is set.
+	Longest allowed pause between chunks, in milliseconds; 0 if none is set.
 	*/
 	readonly pauseObjectiveMs: number;
 	/**
@@ -20,7 +20,7 @@
 	readonly promptTokens: number;
 	readonly parts: readonly PromptPart[];
 	/**
-	Incarnations of endpoints that this request has tried.
+	Incarnations of endpoints at which this request was attempted.
 	*/
 	readonly tried: ReadonlySet<string>;
 };
--- a/gateway/selection/src/selection.ts
+++ b/gateway/selection/src/selection.ts
@@ -1,15 +1,15 @@
 import type {Rating} from './rating.ts';
 
 /**
-The endpoint that was chosen, and how much was known of the work of others.
+The chosen endpoint, and how complete the known load was.
 */
 export type Selection = Rating & {
 	/**
-	Milliseconds since any other node told of its work; -1 when none has.
+	Milliseconds since the last load update of a peer; -1 without one.
 	*/
 	readonly newsAgeMs: number;
 	/**
-	How many times the known work was taken to stand for all of it.
+	Factor that extrapolated the known load to the whole fleet.
 	*/
 	readonly unseenFactor: number;
 };
--- a/gateway/selection/src/selector-options.ts
+++ b/gateway/selection/src/selector-options.ts
@@ -3,32 +3,33 @@
 */
 export type SelectorOptions = {
 	/**
-	Weight of an open stream that reading a prompt beside it would make late, in latency objectives of the prompt's route. In
-	emulated bursts (four seeds), 6 of 100 queries paused too long with both weights at 1, and 44 with both at 0.
+	Weight of an open stream that the prefill of a new prompt is expected to delay beyond its pause objective, in latency objectives
+	of the prompt's route.
 	*/
 	readonly interferenceWeight: number;
 	/**
-	Weight of the chance that a stream is made late by what its endpoint reads, in latency objectives of its route.
+	Weight of the probability that other prefill at the endpoint delays the new stream beyond its pause objective, in latency
+	objectives of its route.
 	*/
 	readonly riskWeight: number;
 	/**
-	Time within which reading a shared part again counts as waste, in milliseconds.
+	Time within which prefilling a shared part again counts as waste, in milliseconds.
 	*/
 	readonly reuseMs: number;
 	/**
-	Milliseconds of delay that are borne to save one token from being read again.
+	Delay that is accepted for each token that need not be prefilled again, in milliseconds.
 	*/
 	readonly rereadMsPerToken: number;
 	/**
-	Prompt tokens that an engine reads in a millisecond, until it is learned.
+	Initial estimate of an engine's prefill rate, in tokens per millisecond.
 	*/
 	readonly prefillTokensPerMs: number;
 	/**
-	Whether a request to an address would find an open connection; without it none is counted.
+	Whether there is an idle connection to an address; if not set, new connections add no cost.
 	*/
 	readonly hasConnection?: (address: string) => boolean;
 	/**
-	Is told of each request that is placed.
+	Called for each prompt that is sent to an endpoint.
 	*/
 	readonly onPlacement?: () => void;
 };
--- a/gateway/selection/src/selector.ts
+++ b/gateway/selection/src/selector.ts
@@ -7,55 +7,55 @@
 import type {SelectionCriteria} from './selection-criteria.ts';
 
 /**
-Chooses endpoints and keeps the books that the choice needs.
+Chooses endpoints, and keeps the state that the choice depends on.
 */
 export type Selector = {
 	readonly addEndpoint: (endpoint: ServingEndpoint) => void;
 	readonly removeEndpoint: (id: string) => void;
 	/**
-	Puts a new incarnation in the place of the one before under its id: whatever was kept of that is forgotten, and requests that
-	were open there are told.
+	Replaces an endpoint by a new incarnation under the same ID. The state of the previous one is dropped; its requests that were
+	opened before the new one started get their `onEnded` handler called.
 	*/
 	readonly setIncarnation: (endpoint: ServingEndpoint) => void;
 	readonly setPools: (pools: readonly ServicePool[]) => void;
 	/**
-	Best endpoint that is ready and was not tried; `undefined` when there is none.
+	Best ready endpoint that was not tried; `undefined` if there is none.
 	*/
-	readonly choose: (question: SelectionCriteria) => Selection | undefined;
+	readonly choose: (criteria: SelectionCriteria) => Selection | undefined;
 	/**
-	Takes what an incarnation said of itself in an answer; no way of choosing an endpoint goes past it.
+	Applies what an incarnation announced in the headers of an answer: a cooldown, or that it drains.
 	*/
 	readonly applyNotice: (incarnation: string, notice: Pick<AnswerFacts, 'retryAfterMs' | 'isLeaving'>) => void;
 	/**
-	Whether a chosen endpoint still takes requests: it has neither left since nor asked for none.
+	Whether a chosen endpoint still accepts requests: it is ready, the same incarnation, and in no cooldown.
 	*/
 	readonly canTake: (endpoint: Pick<KnownEndpoint, 'id' | 'incarnation'>) => boolean;
 	/**
-	Milliseconds until the first endpoint of a pool that is ready takes requests again; 0 when one does now, or none is ready.
+	Milliseconds until the first ready endpoint of a pool accepts requests again; 0 if one does now, or none is ready.
 	*/
 	readonly getCooldownMs: (pool: string) => number;
 	/**
-	Books a request at the chosen endpoint.
+	Records that a request is sent to the chosen endpoint.
 	*/
-	readonly open: (selection: Selection, question: SelectionCriteria) => OpenRequest;
+	readonly open: (selection: Selection, criteria: SelectionCriteria) => OpenRequest;
 	/**
-	News for peers since the last call; `undefined` when there are none.
+	Takes the load update for peers since the last call; `undefined` if nothing has changed.
 	*/
 	readonly takeLoadUpdate: () => LoadUpdate | undefined;
 	/**
-	The node's own work in full, for a peer that has just come.
+	The node's own loads in full, for a peer that has just been linked.
 	*/
 	readonly listOwn: () => LoadUpdate;
 	/**
-	Takes in a peer's news; returns what of them is not of incarnations that are known to be gone.
+	Applies a peer's load update; returns it without the rows of removed incarnations.
 	*/
-	readonly applyLoadUpdate: (node: string, news: LoadUpdate) => LoadUpdate;
+	readonly applyLoadUpdate: (node: string, update: LoadUpdate) => LoadUpdate;
 	/**
-	Sets how many times the known work stands for all of it, while peers cannot be heard.
+	Sets the factor that extrapolates the known load to the whole fleet while peers are unreachable.
 	*/
 	readonly setUnseenFactor: (factor: number) => void;
 	/**
-	Work of a pool, of all nodes.
+	Load of a pool, summed over all nodes.
 	*/
 	readonly measurePoolLoad: (pool: string) => PoolLoad;
 	readonly removeNode: (node: string) => void;
--- /dev/null
+++ b/gateway/selection/src/stall-detector.ts
@@ -0,0 +1,23 @@
+/**
+Detects endpoints from which this node has received no chunks in time. Times are in milliseconds.
+*/
+export type StallDetector = {
+	/**
+	Starts watching a request whose first chunk is due at a time on the monotonic clock; returns its handle.
+	*/
+	readonly open: (endpoint: string, dueAt: number) => symbol;
+	/**
+	Records a chunk; the next one is due from now on.
+	*/
+	readonly markChunk: (endpoint: string, request: symbol) => void;
+	readonly close: (endpoint: string, request: symbol) => void;
+	/**
+	Expects nothing until the next chunk, since the caller reads slowly.
+	*/
+	readonly markPaused: (endpoint: string, request: symbol) => void;
+	/**
+	Whether no chunk has come from an endpoint for longer than `timeoutMs`; `undefined` if none is due to this node.
+	*/
+	readonly isStalled: (endpoint: string, timeoutMs: number) => boolean | undefined;
+	readonly removeEndpoint: (endpoint: string) => void;
+};
--- a/gateway/selection/test/endpoint-notices.test.ts
+++ b/gateway/selection/test/endpoint-notices.test.ts
@@ -7,7 +7,7 @@
 	id: 'i-1', pool: 'desk', address: 'i-1:80', dataCentre: 'a', slots: 6, state: 'ready', born: 1000,
 };
 const second: ServingEndpoint = {...first, id: 'i-2', address: 'i-2:80'};
-const question = {
+const criteria = {
 	pool: 'desk', objectiveMs: 250, pauseObjectiveMs: 0, urgency: 0, promptTokens: 0, parts: [], tried: new Set<string>(),
 };
 const cooldown = {retryAfterMs: 3000, isLeaving: false};
@@ -25,11 +25,11 @@
 }
 
 function listChosen(selector: Selector): readonly string[] {
-	const ids = Array.from({length: 50}, () => selector.choose(question)?.endpoint.id ?? 'none');
+	const ids = Array.from({length: 50}, () => selector.choose(criteria)?.endpoint.id ?? 'none');
 	return [...new Set(ids)].toSorted();
 }
 
-test('an endpoint in a cooldown is not chosen until it ends, also as the last one', t => {
+test('an endpoint is not chosen during its cooldown, even if there is no other', t => {
 	const {selector, clock} = createPair(t);
 	selector.applyNotice(formatIncarnation(first), cooldown);
 	t.same(listChosen(selector), ['i-2']);
@@ -47,7 +47,7 @@
 	t.end();
 });
 
-test('a shorter cooldown does not end a longer one, and a broken endpoint cannot ask for ever', t => {
+test('a shorter cooldown does not end a longer one, and the length is limited', t => {
 	const {selector, clock} = createPair(t);
 	selector.applyNotice(formatIncarnation(first), cooldown);
 	selector.applyNotice(formatIncarnation(first), {...cooldown, retryAfterMs: 500});
@@ -59,7 +59,7 @@
 	t.end();
 });
 
-test('a cooldown ends with the process that asked for it, and not with its entry', t => {
+test('a cooldown ends with the process that requested it, and not with its entry', t => {
 	const {selector} = createPair(t);
 	selector.applyNotice(formatIncarnation(first), cooldown);
 	selector.addEndpoint({...first, slots: 7});
@@ -72,7 +72,7 @@
 	t.end();
 });
 
-test('a cooldown outlasts a jump of the time of day', t => {
+test('a cooldown does not depend on the system clock', t => {
 	const {selector, clock} = createPair(t);
 	selector.applyNotice(formatIncarnation(first), cooldown);
 	const {now} = Date;
@@ -85,12 +85,12 @@
 	t.end();
 });
 
-test('an endpoint that refused without asking for a pause is passed over for a moment, unless it is the last one', t => {
+test('an endpoint that refused a request without a cooldown is skipped for a short time, unless there is no other', t => {
 	const {selector, clock} = createPair(t);
 	const refuse = (tried: ReadonlySet<string>): void => {
-		const selection = selector.choose({...question, tried});
+		const selection = selector.choose({...criteria, tried});
 		t.ok(selection !== undefined);
-		selector.open(selection!, question).close('rejected');
+		selector.open(selection!, criteria).close('rejected');
 	};
 
 	refuse(new Set([formatIncarnation(second)]));
@@ -105,7 +105,7 @@
 	t.end();
 });
 
-test('an endpoint that leaves is not chosen again, and a new process under its id is', t => {
+test('a draining endpoint is not chosen again, but a new process under its ID is', t => {
 	const {selector} = createPair(t);
 	selector.applyNotice(formatIncarnation(first), {retryAfterMs: undefined, isLeaving: true});
 	t.notOk(selector.canTake({id: first.id, incarnation: formatIncarnation(first)}));
@@ -119,7 +119,7 @@
 	t.end();
 });
 
-test('a request that waits for a connection is held back when its endpoint drains, goes or starts again meanwhile', t => {
+test('a chosen endpoint takes no request after it drains, is removed or starts again', t => {
 	const chosen = {id: first.id, incarnation: formatIncarnation(first)};
 	const changes: ReadonlyArray<(selector: Selector) => void> = [
 		selector => {
--- a/gateway/selection/test/incarnations.test.ts
+++ b/gateway/selection/test/incarnations.test.ts
@@ -13,24 +13,24 @@
 	interferenceWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
 };
 const bornMs = 1000;
-const againMs = 60_000;
+const restartedMs = 60_000;
 
 const first: ServingEndpoint = {
 	id: 'i-1', pool: 'engines', address: 'i-1:80', dataCentre: 'a', slots: 64, state: 'ready', born: bornMs,
 };
-const again: ServingEndpoint = {...first, born: againMs};
+const restarted: ServingEndpoint = {...first, born: restartedMs};
 const other: ServingEndpoint = {...first, id: 'i-2', address: 'i-2:80'};
-const oldName = formatIncarnation(first);
-const newName = formatIncarnation(again);
-const otherName = formatIncarnation(other);
+const oldId = formatIncarnation(first);
+const newId = formatIncarnation(restarted);
+const otherId = formatIncarnation(other);
 
-function createQuestion(change: Partial<SelectionCriteria> = {}): SelectionCriteria {
+function createCriteria(change: Partial<SelectionCriteria> = {}): SelectionCriteria {
 	return {
 		pool: 'engines', objectiveMs: 250, pauseObjectiveMs: 200, urgency: 0, promptTokens: 3000, parts: [{id: 'subject', tokens: 2800}, {id: 'own', tokens: 200}], tried: new Set(), ...change,
 	};
 }
 
-function createFilled(t: Test, endpoints: readonly ServingEndpoint[]): {readonly selector: Selector; readonly clock: Clock} {
+function createWithEndpoints(t: Test, endpoints: readonly ServingEndpoint[]): {readonly selector: Selector; readonly clock: Clock} {
 	const clock = new Clock();
 	clock.advance(bornMs + 1);
 	t.teardown(clock.enter());
@@ -43,149 +43,149 @@
 	return {selector, clock};
 }
 
-function send(selector: Selector, question: SelectionCriteria) {
-	const selection = selector.choose(question);
+function send(selector: Selector, criteria: SelectionCriteria) {
+	const selection = selector.choose(criteria);
 	if (selection === undefined) {
 		throw new TypeError('no endpoint');
 	}
 
-	return selector.open(selection, question);
+	return selector.open(selection, criteria);
 }
 
 function getOwn(selector: Selector, name: string) {
 	return selector.listOwn().loads.find(([endpoint]) => endpoint === name)?.[1];
 }
 
-test('names of incarnations differ by id and start, and an endpoint that does not say its start goes by its id', t => {
-	t.equal(new Set([oldName, newName, otherName, formatIncarnation({id: 'i-1'})]).size, 4);
+test('IDs of incarnations differ by endpoint ID and start time, and without a start time the endpoint ID is used', t => {
+	t.equal(new Set([oldId, newId, otherId, formatIncarnation({id: 'i-1'})]).size, 4);
 	t.equal(formatIncarnation({id: 'i-1'}), 'i-1');
 	t.end();
 });
 
-test('nothing of the process before is believed of the one that starts again under its id', t => {
-	const {selector, clock} = createFilled(t, [first, other]);
-	const fresh = createQuestion({tried: new Set([oldName, newName])});
-	const same = createQuestion({tried: new Set([otherName])});
+test('state of the previous process does not apply to the one that starts again under its ID', t => {
+	const {selector, clock} = createWithEndpoints(t, [first, other]);
+	const fresh = createCriteria({tried: new Set([oldId, newId])});
+	const same = createCriteria({tried: new Set([otherId])});
 	const stream = send(selector, same);
 	clock.advance(60);
 	stream.markChunk();
 	const waiting = send(selector, {...same, parts: [{id: 'else', tokens: 2800}, {id: 'own', tokens: 200}]});
-	selector.applyLoadUpdate('n2', {loads: [[oldName, {...noLoad, open: 9, pendingPrefill: [50_000]}]], placements: []});
+	selector.applyLoadUpdate('n2', {loads: [[oldId, {...noLoad, open: 9, pendingPrefill: [50_000]}]], placements: []});
 	t.ok((selector.choose(same)?.costMs ?? 0) > 1000);
 	t.ok((selector.choose(same)?.harmMs ?? 0) > 0);
 	t.equal(selector.choose(same)?.heldTokens, 2800);
 	waiting.close('gone');
-	selector.setIncarnation(again);
+	selector.setIncarnation(restarted);
 	const {costMs, readMs, harmMs, heldTokens} = selector.choose(fresh) ?? {};
 	t.match(selector.choose(same), {
-		endpoint: again, costMs, readMs, harmMs, heldTokens,
+		endpoint: restarted, costMs, readMs, harmMs, heldTokens,
 	});
 	t.same(selector.listOwn(), {loads: [], placements: []});
 	t.equal(selector.takeLoadUpdate(), undefined);
 	t.end();
 });
 
-test('an endpoint that failed is not kept away from after its process has started again', t => {
-	const {selector} = createFilled(t, [first, other]);
-	const question = createQuestion({tried: new Set([otherName])});
-	send(selector, question).close('gone');
-	t.equal(selector.choose(createQuestion())?.endpoint.id, 'i-2');
-	selector.setIncarnation(again);
-	selector.applyLoadUpdate('n2', {loads: [[otherName, {...noLoad, open: 9, pendingPrefill: [50_000]}]], placements: []});
-	t.equal(selector.choose(createQuestion())?.endpoint.id, 'i-1');
+test('an ejected endpoint is chosen again after its process has started again', t => {
+	const {selector} = createWithEndpoints(t, [first, other]);
+	const criteria = createCriteria({tried: new Set([otherId])});
+	send(selector, criteria).close('gone');
+	t.equal(selector.choose(createCriteria())?.endpoint.id, 'i-2');
+	selector.setIncarnation(restarted);
+	selector.applyLoadUpdate('n2', {loads: [[otherId, {...noLoad, open: 9, pendingPrefill: [50_000]}]], placements: []});
+	t.equal(selector.choose(createCriteria())?.endpoint.id, 'i-1');
 	t.end();
 });
 
-test('late reports of requests that were sent to the process before count nowhere', t => {
+test('late reports of requests to the previous process are ignored', t => {
 	for (const end of ['done', 'failed', 'gone', 'rejected', 'cancelled'] as const) {
-		const {selector, clock} = createFilled(t, [first]);
-		const late = send(selector, createQuestion());
-		selector.setIncarnation(again);
-		const current = send(selector, createQuestion());
-		const before = getOwn(selector, newName);
+		const {selector, clock} = createWithEndpoints(t, [first]);
+		const late = send(selector, createCriteria());
+		selector.setIncarnation(restarted);
+		const current = send(selector, createCriteria());
+		const before = getOwn(selector, newId);
 		clock.advance(80);
 		late.markChunk();
 		late.markPaused();
 		late.close(end);
-		t.same(getOwn(selector, newName), before);
-		t.equal(getOwn(selector, oldName), undefined);
-		t.equal(selector.choose(createQuestion())?.endpoint.id, 'i-1');
+		t.same(getOwn(selector, newId), before);
+		t.equal(getOwn(selector, oldId), undefined);
+		t.equal(selector.choose(createCriteria())?.endpoint.id, 'i-1');
 		current.close('done');
-		t.equal(getOwn(selector, newName)?.open, 0);
+		t.equal(getOwn(selector, newId)?.open, 0);
 	}
 
 	t.end();
 });
 
-test('requests of an endpoint that was removed and came back under the same name count no more either', t => {
-	const {selector} = createFilled(t, [first]);
-	const late = send(selector, createQuestion());
+test('requests of an endpoint that was removed and added again with the same incarnation are ignored too', t => {
+	const {selector} = createWithEndpoints(t, [first]);
+	const late = send(selector, createCriteria());
 	selector.removeEndpoint('i-1');
 	selector.addEndpoint(first);
-	send(selector, createQuestion());
+	send(selector, createCriteria());
 	late.close('done');
-	t.equal(getOwn(selector, oldName)?.open, 1);
+	t.equal(getOwn(selector, oldId)?.open, 1);
 	t.end();
 });
 
-test('news of a peer about the process before are dropped, those about a new one hold before it is known', t => {
-	const {selector} = createFilled(t, [first]);
+test('load updates about the previous process are dropped, those about a new one apply before it is known', t => {
+	const {selector} = createWithEndpoints(t, [first]);
 	const load = {...noLoad, open: 9};
-	selector.applyLoadUpdate('n2', {loads: [[newName, load]], placements: []});
-	selector.setIncarnation(again);
+	selector.applyLoadUpdate('n2', {loads: [[newId, load]], placements: []});
+	selector.setIncarnation(restarted);
 	const placement = {
-		endpoint: oldName, pool: 'engines', parts: ['subject'], tokens: 2800,
+		endpoint: oldId, pool: 'engines', parts: ['subject'], tokens: 2800,
 	};
-	t.same(selector.applyLoadUpdate('n3', {loads: [[oldName, load], [newName, load]], placements: [placement]}), {loads: [[newName, load]], placements: []});
-	const news = selector.choose(createQuestion());
-	t.equal(news?.heldTokens, 0);
-	const busy = createFilled(t, [again]).selector;
-	busy.applyLoadUpdate('n2', {loads: [[newName, {...load, open: 18}]], placements: []});
-	t.equal(news?.costMs, busy.choose(createQuestion())?.costMs);
+	t.same(selector.applyLoadUpdate('n3', {loads: [[oldId, load], [newId, load]], placements: [placement]}), {loads: [[newId, load]], placements: []});
+	const selection = selector.choose(createCriteria());
+	t.equal(selection?.heldTokens, 0);
+	const busy = createWithEndpoints(t, [restarted]).selector;
+	busy.applyLoadUpdate('n2', {loads: [[newId, {...load, open: 18}]], placements: []});
+	t.equal(selection?.costMs, busy.choose(createCriteria())?.costMs);
 	t.end();
 });
 
-test('requests that were open when their process ended are told, those that the new one got before it was known are not', t => {
-	const {selector, clock} = createFilled(t, [first, other]);
-	const told: string[] = [];
+test('requests that were open when their process ended are notified, those sent to the new one before it was known are not', t => {
+	const {selector, clock} = createWithEndpoints(t, [first, other]);
+	const notified: string[] = [];
 	const names = ['before', 'after'];
 	for (const name of names) {
-		const work = send(selector, createQuestion({tried: new Set([otherName])}));
-		work.onEnded(() => {
-			told.push(`${name} ${selector.choose(createQuestion({tried: new Set([oldName])}))?.endpoint.id ?? 'none'}`);
+		const request = send(selector, createCriteria({tried: new Set([otherId])}));
+		request.onEnded(() => {
+			notified.push(`${name} ${selector.choose(createCriteria({tried: new Set([oldId])}))?.endpoint.id ?? 'none'}`);
 		});
-		clock.advance(againMs);
+		clock.advance(restartedMs);
 	}
 
-	const elsewhere = send(selector, createQuestion({tried: new Set([oldName])}));
+	const elsewhere = send(selector, createCriteria({tried: new Set([oldId])}));
 	elsewhere.onEnded(() => {
-		told.push('elsewhere');
+		notified.push('elsewhere');
 	});
-	selector.applyLoadUpdate('n2', {loads: [[otherName, {...noLoad, open: 9, pendingPrefill: [50_000]}]], placements: []});
-	selector.setIncarnation(again);
-	t.same(told, ['before i-1']);
+	selector.applyLoadUpdate('n2', {loads: [[otherId, {...noLoad, open: 9, pendingPrefill: [50_000]}]], placements: []});
+	selector.setIncarnation(restarted);
+	t.same(notified, ['before i-1']);
 	selector.removeEndpoint('i-2');
-	t.same(told, ['before i-1'], 'a process that leaves goes on for a while');
+	t.same(notified, ['before i-1'], 'a process that drains may still finish its requests');
 	t.end();
 });
 
-test('an endpoint of which the process before was tried may be tried', t => {
-	const {selector} = createFilled(t, [first]);
-	const question = createQuestion({tried: new Set([oldName])});
-	t.equal(selector.choose(question), undefined);
-	selector.setIncarnation(again);
-	t.equal(selector.choose(question)?.endpoint.born, againMs);
+test('an endpoint may be chosen if only its previous process was tried', t => {
+	const {selector} = createWithEndpoints(t, [first]);
+	const criteria = createCriteria({tried: new Set([oldId])});
+	t.equal(selector.choose(criteria), undefined);
+	selector.setIncarnation(restarted);
+	t.equal(selector.choose(criteria)?.endpoint.born, restartedMs);
 	t.end();
 });
 
-test('the same incarnation keeps all, whatever else changes in its entry', t => {
-	const {selector} = createFilled(t, [first]);
-	send(selector, createQuestion());
-	const before = selector.choose(createQuestion());
+test('an incarnation keeps its state when other fields of its entry change', t => {
+	const {selector} = createWithEndpoints(t, [first]);
+	send(selector, createCriteria());
+	const before = selector.choose(createCriteria());
 	selector.addEndpoint({...first, state: 'draining'});
 	selector.addEndpoint({...first, address: 'i-1:81'});
 	selector.setIncarnation(first);
-	t.match(selector.choose(createQuestion()), {heldTokens: 2800, costMs: before?.costMs ?? -1});
-	t.equal(getOwn(selector, oldName)?.open, 1);
+	t.match(selector.choose(createCriteria()), {heldTokens: 2800, costMs: before?.costMs ?? -1});
+	t.equal(getOwn(selector, oldId)?.open, 1);
 	t.end();
 });
