--- a/gateway/admission/src/admission-input.ts
+++ b/gateway/admission/src/admission-input.ts
@@ -3,11 +3,11 @@
 */
 export type AdmissionInput = {
 	/**
-	Predicted time to the first token at the best endpoint, ahead of what ranks lower.
+	Predicted time to the first token at the best endpoint, if the request is sent ahead of lower ranks.
 	*/
 	readonly predictedMs: number;
 	/**
-	Part of it that is spent on reading the request's own prompt.
+	Part of it that is the prefill of the request's own prompt.
 	*/
 	readonly readMs: number;
 	/**
@@ -15,15 +15,15 @@
 	*/
 	readonly objectiveMs: number;
 	/**
-	Time since the caller first asked, its earlier tries included.
+	Time since the caller's first attempt.
 	*/
 	readonly elapsedMs: number;
 	/**
-	Whether the caller has come back after an earlier try.
+	Whether the caller has made an earlier attempt.
 	*/
 	readonly isRetry: boolean;
 	/**
-	Number from 0 up to 1 that spreads the times to come back.
+	Random number from 0 up to 1 that spreads the retries of refused callers.
 	*/
 	readonly draw: number;
 };
--- a/gateway/admission/src/admission-settings.ts
+++ b/gateway/admission/src/admission-settings.ts
@@ -1,18 +1,18 @@
 /**
-Bounds of admission.
+Limits of admission.
 */
 export type AdmissionSettings = {
 	/**
-	Predicted time to the first token, in what is left of the objective, over which a request is not sent ahead of others.
-	Predicted and true times of played drafts were 747 and 853 ms on average in the highest fifth, so some leeway is left.
+	Multiple of what is left of the objective up to which the predicted time to the first token counts as in time; above 1, since
+	predictions are inexact.
 	*/
 	readonly lateFactor: number;
 	/**
-	Wait for others, in objectives, over which a late request is refused, whatever its own size.
+	Multiple of the objective by the wait for other requests, above which a late request is refused; its own prefill is not counted.
 	*/
 	readonly waitFactor: number;
 	/**
-	Time to come back, in predicted times to the first token.
+	Time after which a refused caller retries, as a multiple of the predicted time to the first token.
 	*/
 	readonly retryAfterFactor: number;
 };
--- a/gateway/admission/src/admission.ts
+++ b/gateway/admission/src/admission.ts
@@ -1,6 +1,6 @@
 /**
-What to do with a request: send it now, send it behind those that can be in time, or refuse it with a time to come back, in
-milliseconds.
+What to do with a request: send it, send it with a lower rank than requests that can be in time, or refuse it with the time after
+which to retry, in milliseconds.
 */
 export type Admission =
 	| {readonly kind: 'send'}
--- a/gateway/admission/src/wait-baselines.ts
+++ b/gateway/admission/src/wait-baselines.ts
@@ -1,10 +1,10 @@
 /**
-How long callers of each route wait when they first ask.
+Estimates of the wait that the callers of each route allow on their first attempt.
 */
 export type WaitBaselines = {
 	/**
-	Records the wait that a request names and tells how much of the usual one its caller has spent on earlier tries, in
-	milliseconds; 0 for a first try.
+	Records the wait that a request allows. Returns how much less it is than the baseline, which its caller has spent on earlier
+	attempts, in milliseconds; 0 for a first attempt.
 	*/
 	readonly record: (route: string, waitMs: number) => number;
 };
--- a/gateway/admission/test/admission.test.ts
+++ b/gateway/admission/test/admission.test.ts
@@ -2,11 +2,11 @@
 import {createWaitBaselines, decideAdmission, type AdmissionInput} from '@valvesaddle/admission';
 
 const settings = {lateFactor: 1.3, waitFactor: 0.5, retryAfterFactor: 1.5};
-const question: AdmissionInput = {
+const input: AdmissionInput = {
 	predictedMs: 400, readMs: 50, objectiveMs: 600, elapsedMs: 0, isRetry: false, draw: 0.5,
 };
 
-test('what is predicted decides: in time, behind the others, or back later', t => {
+test('a request is sent, sent late or refused by its predicted time', t => {
 	const cases: ReadonlyArray<readonly [change: Partial<AdmissionInput>, kind: string]> = [
 		[{}, 'send'],
 		[{predictedMs: 780}, 'send'],
@@ -18,31 +18,31 @@
 		[{predictedMs: 60, elapsedMs: 5000}, 'send-late'],
 	];
 	for (const [change, kind] of cases) {
-		t.equal(decideAdmission({...question, ...change}, settings).kind, kind, JSON.stringify(change));
+		t.equal(decideAdmission({...input, ...change}, settings).kind, kind, JSON.stringify(change));
 	}
 
 	t.end();
 });
 
-test('a long prompt is refused by its wait for others, never for its own size', t => {
+test('a long prompt is refused by its wait for others, not by its own prefill', t => {
 	for (const readMs of [0, 50, 500, 5000]) {
-		t.not(decideAdmission({...question, predictedMs: 300 + readMs, readMs}, settings).kind, 'refuse', `${readMs} ms to read`);
-		t.equal(decideAdmission({...question, predictedMs: 800 + readMs, readMs}, settings).kind, 'refuse', `${readMs} ms to read`);
+		t.not(decideAdmission({...input, predictedMs: 300 + readMs, readMs}, settings).kind, 'refuse', `${readMs} ms of prefill`);
+		t.equal(decideAdmission({...input, predictedMs: 800 + readMs, readMs}, settings).kind, 'refuse', `${readMs} ms of prefill`);
 	}
 
 	t.end();
 });
 
-test('callers that are refused together are told to come back at different times, later when more waits', t => {
-	const returns = [0, 0.5, 0.999].map(draw => decideAdmission({...question, predictedMs: 1000, draw}, settings));
-	t.match(returns, [{retryAfterMs: 1125}, {retryAfterMs: 1500}, {kind: 'refuse'}]);
-	const [early, , late] = returns.map(admission => admission.kind === 'refuse' ? admission.retryAfterMs : 0);
+test('callers that are refused together retry at different times, later if the predicted time is longer', t => {
+	const admissions = [0, 0.5, 0.999].map(draw => decideAdmission({...input, predictedMs: 1000, draw}, settings));
+	t.match(admissions, [{retryAfterMs: 1125}, {retryAfterMs: 1500}, {kind: 'refuse'}]);
+	const [early, , late] = admissions.map(admission => admission.kind === 'refuse' ? admission.retryAfterMs : 0);
 	t.ok(late! > early! * 1.6);
-	t.match(decideAdmission({...question, predictedMs: 2000}, settings), {retryAfterMs: 3000});
+	t.match(decideAdmission({...input, predictedMs: 2000}, settings), {retryAfterMs: 3000});
 	t.end();
 });
 
-test('a caller that comes back is told by what is left of its wait', t => {
+test('a retry is detected by what is left of its wait', t => {
 	const waits = createWaitBaselines();
 	for (let request = 0; request < 20; request++) {
 		t.equal(waits.record('drafts', 6000 - (request % 3 * 5)), 0);
@@ -50,11 +50,11 @@
 
 	const spentMs = waits.record('drafts', 4500);
 	t.ok(spentMs > 1400 && spentMs < 1510, String(spentMs));
-	t.equal(waits.record('queries', 4500), 0, 'each route has its own');
+	t.equal(waits.record('queries', 4500), 0, 'each route has its own baseline');
 	t.end();
 });
 
-test('neither one caller with a long wait nor many repeats move the usual wait far', t => {
+test('neither a single long wait nor many retries change the baseline much', t => {
 	const waits = createWaitBaselines();
 	for (let request = 0; request < 50; request++) {
 		waits.record('drafts', 6000);
--- a/gateway/retry-budget/src/create-retry-budget.ts
+++ b/gateway/retry-budget/src/create-retry-budget.ts
@@ -3,17 +3,17 @@
 
 type Usage = {
 	readonly requests: number[];
-	readonly repeats: number[];
+	readonly retries: number[];
 };
 
 /**
-Part of the budget that is used: a second try may arrive in a later window than it was counted in.
+Share of the budget that is used, since a retry may arrive in a later window than it was counted in.
 */
 const usedShare = 0.8;
 
 /**
- Creates a node's part of the fleet's budget. It needs no word from other nodes: the part that grows with requests grows
- with the node's own, and the rest is shared evenly over the nodes that are known.
+ Creates a node's part of the fleet's retry budget. Nodes do not communicate for it: each one may spend `ratio` of its own requests
+ and an even share of `slack`.
 
  @example
  const budget = createRetryBudget({ratio: 0.2, slack: 56, windowMs: 10_000, countNodes: () => 8});
@@ -24,11 +24,11 @@
 	const usages = new Map<string, Usage>();
 
 	function getUsage(pool: string): Usage {
-		const usage = usages.get(pool) ?? {requests: [], repeats: []};
+		const usage = usages.get(pool) ?? {requests: [], retries: []};
 		usages.set(pool, usage);
 		const oldest = performance.now() - windowMs;
 		removeBefore(usage.requests, oldest);
-		removeBefore(usage.repeats, oldest);
+		removeBefore(usage.retries, oldest);
 		return usage;
 	}
 
@@ -37,13 +37,13 @@
 			getUsage(pool).requests.push(performance.now());
 		},
 		spend(pool) {
-			const {requests, repeats} = getUsage(pool);
+			const {requests, retries} = getUsage(pool);
 			const allowed = usedShare * ((ratio * requests.length) + (slack / Math.max(1, countNodes())));
-			if (repeats.length + 1 > allowed) {
+			if (retries.length + 1 > allowed) {
 				return false;
 			}
 
-			repeats.push(performance.now());
+			retries.push(performance.now());
 			return true;
 		},
 	};
--- a/gateway/retry-budget/src/retry-budget-options.ts
+++ b/gateway/retry-budget/src/retry-budget-options.ts
@@ -3,11 +3,11 @@
 */
 export type RetryBudgetOptions = {
 	/**
-	Second tries for each request that a pool may get.
+	Retries per request to a pool.
 	*/
 	readonly ratio: number;
 	/**
-	Second tries for each window that a pool may get besides, from all nodes together.
+	Further retries per window and pool, from all nodes together.
 	*/
 	readonly slack: number;
 	/**
@@ -15,7 +15,7 @@
 	*/
 	readonly windowMs: number;
 	/**
-	Nodes that share the slack.
+	Number of nodes that share the slack.
 	*/
 	readonly countNodes: () => number;
 };
--- a/gateway/retry-budget/src/retry-budget.ts
+++ b/gateway/retry-budget/src/retry-budget.ts
@@ -1,13 +1,13 @@
 /**
-The part of a fleet's budget of second tries that one node may spend.
+The part of a fleet's retry budget that one node may spend.
 */
 export type RetryBudget = {
 	/**
-	Counts a caller's request for a pool.
+	Records a caller's request to a pool.
 	*/
 	readonly earn: (pool: string) => void;
 	/**
-	Takes one second try; `false` when none is left in the window.
+	Spends one retry; `false` if none is left in the window.
 	*/
 	readonly spend: (pool: string) => boolean;
 };
--- a/gateway/retry-budget/test/retry-budget.test.ts
+++ b/gateway/retry-budget/test/retry-budget.test.ts
@@ -11,7 +11,7 @@
 	return spent;
 }
 
-test('the nodes of a fleet together never spend more than the fleet may', t => {
+test('all nodes together do not exceed the budget of the fleet', t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const nodes = 8;
@@ -32,7 +32,7 @@
 	t.end();
 });
 
-test('what was spent comes back when the window has passed, and requests of old count no more', t => {
+test('spent retries and earlier requests stop counting when the window has passed', t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const budget = createRetryBudget({
@@ -50,7 +50,7 @@
 	t.end();
 });
 
-test('pools have budgets of their own', t => {
+test('each pool has its own budget', t => {
 	const budget = createRetryBudget({
 		ratio: 0, slack: 2, windowMs: 10_000, countNodes: () => 1,
 	});
--- a/gateway/selection/test/selector.test.ts
+++ b/gateway/selection/test/selector.test.ts
@@ -354,15 +354,15 @@
 test('a prompt that waited behind others does not change the speed of its engine', t => {
 	const {selector, clock} = createWithEndpoints(t, ['i-1', 'i-2']);
 	runPrompts(selector, clock, {'i-1': 50, 'i-2': 50});
-	const before = selector.listOwn().loads.map(([, {prefilledTokens: readTokens}]) => readTokens);
+	const before = selector.listOwn().loads.map(([, {prefilledTokens}]) => prefilledTokens);
 	const criteria = createCriteria({promptTokens: 4000, parts: [{id: 'queue', tokens: 4000}], tried: new Set(['i-2'])});
 	const first = send(selector, criteria);
 	const second = send(selector, criteria);
 	clock.advance(500);
 	second.request.markChunk();
-	t.same(selector.listOwn().loads.map(([, {prefilledTokens: readTokens}]) => readTokens), before);
+	t.same(selector.listOwn().loads.map(([, {prefilledTokens}]) => prefilledTokens), before);
 	first.request.markChunk();
-	t.not(selector.listOwn().loads.map(([, {prefilledTokens: readTokens}]) => readTokens)[0], before[0]);
+	t.not(selector.listOwn().loads.map(([, {prefilledTokens}]) => prefilledTokens)[0], before[0]);
 	t.end();
 });
 
