--- /dev/null
+++ b/gateway/admission/src/admission-input.ts
@@ -0,0 +1,29 @@
+/**
+What the admission of a request depends on. Times are in milliseconds.
+*/
+export type AdmissionInput = {
+	/**
+	Predicted time to the first token at the best endpoint, if the request is sent ahead of lower ranks.
+	*/
+	readonly predictedMs: number;
+	/**
+	Part of it that is the prefill of the request's own prompt.
+	*/
+	readonly readMs: number;
+	/**
+	Latency objective of the route.
+	*/
+	readonly objectiveMs: number;
+	/**
+	Time since the caller's first attempt.
+	*/
+	readonly elapsedMs: number;
+	/**
+	Whether the caller has made an earlier attempt.
+	*/
+	readonly isRetry: boolean;
+	/**
+	Random number from 0 up to 1 that spreads the retries of refused callers.
+	*/
+	readonly draw: number;
+};
--- /dev/null
+++ b/gateway/selection/src/open-request.ts
@@ -0,0 +1,28 @@
+/**
+A request that is open at an endpoint.
+*/
+export type OpenRequest = {
+	/**
+	Records a chunk of the answer; the first one shows that the prompt is prefilled.
+	*/
+	readonly markChunk: () => void;
+	/**
+	Records that the endpoint has to wait because the caller reads slowly.
+	*/
+	readonly markPaused: () => void;
+	/**
+	Sets a handler that is called when the endpoint is stalled for all nodes that expect chunks from it.
+	*/
+	readonly onStalled: (handler: () => void) => void;
+	/**
+	Sets a handler that is called when the process that the request was sent to is known to have ended.
+	*/
+	readonly onEnded: (handler: () => void) => void;
+	readonly close: (end: RequestEnd) => void;
+};
+
+/**
+How a request ended at an endpoint: `done`, `failed` by the endpoint, `rejected` before it ran, `gone` if the endpoint
+was unreachable or another one answers at its address, or `cancelled` by the gateway.
+*/
+type RequestEnd = 'done' | 'failed' | 'rejected' | 'gone' | 'cancelled';
--- a/gateway/selection/src/remove-load.ts
+++ b/gateway/selection/src/remove-load.ts
@@ -2,7 +2,7 @@
 import type {EndpointLoad} from './endpoint-load.ts';
 
 /**
- Takes a part out of a sum of loads; requests, prompts and sensitivity do not fall below 0.
+ Subtracts a load from a sum; requests, pending prompt tokens and sensitivity do not fall below 0.
 
  @example
  removeLoad({...noLoad, open: 3}, {...noLoad, open: 2}).open; // 1
@@ -10,11 +10,11 @@
 export function removeLoad(sum: EndpointLoad, part: EndpointLoad): EndpointLoad {
 	return addLoads(sum, {
 		open: -part.open,
-		unread: part.unread.map(tokens => -tokens),
+		pendingPrefill: part.pendingPrefill.map(tokens => -tokens),
 		sensitivity: -part.sensitivity,
-		witnesses: -part.witnesses,
-		silent: -part.silent,
-		readTokens: -part.readTokens,
-		readMs: -part.readMs,
+		observers: -part.observers,
+		stalledObservers: -part.stalledObservers,
+		prefilledTokens: -part.prefilledTokens,
+		prefillMs: -part.prefillMs,
 	});
 }
