--- a/emulator/beliefs/src/create-spreading-node.ts
+++ b/emulator/beliefs/src/create-spreading-node.ts
@@ -48,7 +48,7 @@
 		retryMs: settings.store.retry_ms,
 		leaseMs: settings.store.lease_ms,
 		renewMs: settings.store.renew_ms,
-		lapseGraceMs: settings.store.lapse_grace_ms,
+		removalGraceMs: settings.store.lapse_grace_ms,
 		isFollower: () => sync.isFollower(),
 		isNeeded: () => sync.isStoreNeeded(),
 		logger,
--- a/gateway/cluster-view/src/belief-source.ts
+++ /dev/null
@@ -1,4 +0,0 @@
-/**
-Where a belief comes from.
-*/
-export type BeliefSource = 'store' | 'peer';
--- a/gateway/cluster-view/src/cluster-events.ts
+++ b/gateway/cluster-view/src/cluster-events.ts
@@ -4,7 +4,7 @@
 	GatewayNode,
 	ServingEndpoint,
 } from '@valvesaddle/gateway-types';
-import type {BeliefSource} from './belief-source.ts';
+import type {StateSource} from './state-source.ts';
 
 /**
 What a cluster view tells of.
@@ -26,5 +26,5 @@
 	/**
 	What is believed went on from the revision `after`, by changes that leave no gap and whatever way they came.
 	*/
-	advanced: {readonly after: number; readonly changes: ClusterChanges; readonly source: BeliefSource};
+	advanced: {readonly after: number; readonly changes: ClusterChanges; readonly source: StateSource};
 };
--- a/gateway/cluster-view/src/cluster-state.ts
+++ b/gateway/cluster-view/src/cluster-state.ts
@@ -1,6 +1,6 @@
 import type {GatewayConfiguration, GatewayNode, ServingEndpoint} from '@valvesaddle/gateway-types';
 import type {Removal} from './removal.ts';
-import type {Unreadable} from './unreadable.ts';
+import type {UnreadableEntry} from './unreadable-entry.ts';
 
 /**
 All that a node believes, as it tells a peer that is behind.
@@ -21,7 +21,7 @@
 	/**
 	A newer configuration than the one in force that is there and cannot be read.
 	*/
-	readonly unread?: Unreadable | undefined;
+	readonly unread?: UnreadableEntry | undefined;
 	/**
 	Whether the node was in touch with the store all the while, so that what is missing here was removed and did not lapse.
 	*/
--- a/gateway/cluster-view/src/cluster-view.ts
+++ b/gateway/cluster-view/src/cluster-view.ts
@@ -5,7 +5,7 @@
 	GatewayNode,
 	ServingEndpoint,
 } from '@valvesaddle/gateway-types';
-import type {BeliefSource} from './belief-source.ts';
+import type {StateSource} from './state-source.ts';
 import type {ClusterEvents} from './cluster-events.ts';
 import type {ClusterState} from './cluster-state.ts';
 
@@ -20,21 +20,21 @@
 	/**
 	Whether a newer configuration than the one in force is there that cannot be read.
 	*/
-	readonly hasUnreadConfiguration: () => boolean;
+	readonly hasUnreadableConfiguration: () => boolean;
 	readonly endpoints: () => readonly ServingEndpoint[];
 	readonly nodes: () => readonly GatewayNode[];
 	/**
 	Takes over what has changed.
 	*/
-	readonly applyChanges: (changes: ClusterChanges, source: BeliefSource) => void;
+	readonly applyChanges: (changes: ClusterChanges, source: StateSource) => void;
 	/**
 	Takes over everything that a source holds; what it lacks was removed.
 	*/
-	readonly applyAll: (changes: ClusterChanges, source: BeliefSource) => void;
+	readonly applyAll: (changes: ClusterChanges, source: StateSource) => void;
 	/**
 	Until that time, on the steady clock in milliseconds, removed endpoints count as lapsed and are kept.
 	*/
-	readonly setLapseUntil: (time: number) => void;
+	readonly setRemovalGraceUntil: (time: number) => void;
 	/**
 	Digest of all that is believed. At the same revision it shows whether two nodes believe the same, which the revision alone
 	does not.
@@ -43,7 +43,7 @@
 	/**
 	Whether entries are kept that may only have lapsed.
 	*/
-	readonly hasLapsed: () => boolean;
+	readonly hasPendingRemovals: () => boolean;
 	/**
 	What a peer is told: all, or what is newer than a revision where that is known for sure.
 	*/
--- a/gateway/cluster-view/src/create-cluster-view.ts
+++ b/gateway/cluster-view/src/create-cluster-view.ts
@@ -6,24 +6,24 @@
 	GatewayNode,
 	ServingEndpoint,
 } from '@valvesaddle/gateway-types';
-import type {BeliefSource} from './belief-source.ts';
+import type {StateSource} from './state-source.ts';
 import type {ClusterEvents} from './cluster-events.ts';
 import type {ClusterView} from './cluster-view.ts';
 import type {ClusterViewOptions} from './cluster-view-options.ts';
 import {toState} from './to-state.ts';
-import {createLapseBook} from './create-lapse-book.ts';
-import {createRevisionMarks} from './create-revision-marks.ts';
+import {createPendingRemovals} from './create-pending-removals.ts';
+import {createSeenRevisions} from './create-seen-revisions.ts';
 import {createVersionedMap} from './create-versioned-map.ts';
 import {hashEntry} from './hash-entry.ts';
 import {listStateChanges} from './list-state-changes.ts';
 import type {Removal} from './removal.ts';
-import type {Unreadable} from './unreadable.ts';
+import type {UnreadableEntry} from './unreadable-entry.ts';
 
 type Handlers = {
 	/**
 	Returns what was new.
 	*/
-	readonly [Kind in ClusterChange['kind']]: (change: Extract<ClusterChange, {readonly kind: Kind}>, source: BeliefSource) => News;
+	readonly [Kind in ClusterChange['kind']]: (change: Extract<ClusterChange, {readonly kind: Kind}>, source: StateSource) => News;
 };
 
 type News = readonly ClusterChange[];
@@ -48,12 +48,12 @@
 	const events = new Emittery<ClusterEvents>();
 	const endpoints = createVersionedMap<ServingEndpoint>(getBirth);
 	const nodes = createVersionedMap<GatewayNode>();
-	const lapses = createLapseBook({logger, onExpired: removeLapsed});
+	const lapses = createPendingRemovals({logger, onExpired: removeLapsed});
 	/**
 	Revisions of entries that were told of in the log: each list and each peer brings them again.
 	*/
-	const unreadMarks = createRevisionMarks();
-	const outdatedMarks = createRevisionMarks();
+	const unreadMarks = createSeenRevisions();
+	const outdatedMarks = createSeenRevisions();
 	/**
 	Node that registered last at each address, and the revision at which it did.
 	*/
@@ -67,13 +67,13 @@
 	/**
 	The last configuration that could not be read.
 	*/
-	let unread: Unreadable | undefined;
+	let unread: UnreadableEntry | undefined;
 
-	function findUnread(): Unreadable | undefined {
+	function findUnread(): UnreadableEntry | undefined {
 		return unread !== undefined && unread.revision > configuredAt ? unread : undefined;
 	}
 
-	function removeEndpoint(removal: Removal, source: BeliefSource): News {
+	function removeEndpoint(removal: Removal, source: StateSource): News {
 		const {id, revision: at} = removal;
 		const endpoint = endpoints.get(id);
 		const wasKnown = endpoints.remove(id, at);
@@ -98,7 +98,7 @@
 		return [removal];
 	}
 
-	const removers: Readonly<Record<Removal['kind'], (removal: Removal, source: BeliefSource) => News>> = {
+	const removers: Readonly<Record<Removal['kind'], (removal: Removal, source: StateSource) => News>> = {
 		'endpoint-removed': removeEndpoint,
 		'node-removed': removeNode,
 	};
@@ -115,7 +115,7 @@
 	/**
 	An entry that may only have lapsed while the store was away is kept until it has had time to come back.
 	*/
-	function applyRemoval(removal: Removal, source: BeliefSource, isKnown: boolean): News {
+	function applyRemoval(removal: Removal, source: StateSource, isKnown: boolean): News {
 		if (isKnown && source === 'store' && lapses.isOpen()) {
 			lapses.add(removal);
 			return nothing;
@@ -146,10 +146,10 @@
 	/**
 	An entry of an older incarnation changes nothing, whatever its revision: its writer has ended.
 	*/
-	function recordOutdated({endpoint, revision: at}: EndpointChange, source: BeliefSource): void {
+	function recordOutdated({endpoint, revision: at}: EndpointChange, source: StateSource): void {
 		const {id, born} = endpoint;
 		const believed = endpoints.get(id);
-		if (believed === undefined || getBirth(believed) <= getBirth(endpoint) || !outdatedMarks.mark(id, at)) {
+		if (believed === undefined || getBirth(believed) <= getBirth(endpoint) || !outdatedMarks.add(id, at)) {
 			return;
 		}
 
@@ -159,7 +159,7 @@
 		});
 	}
 
-	function emitIncarnation(before: ServingEndpoint, {endpoint, revision: at}: EndpointChange, source: BeliefSource): void {
+	function emitIncarnation(before: ServingEndpoint, {endpoint, revision: at}: EndpointChange, source: StateSource): void {
 		if (before.born === endpoint.born) {
 			return;
 		}
@@ -171,8 +171,8 @@
 		void events.emit('incarnation', {endpoint, before});
 	}
 
-	function recordUnreadable({key, reason, revision: at}: Unreadable): void {
-		if (!unreadMarks.mark(key, at)) {
+	function recordUnreadable({key, reason, revision: at}: UnreadableEntry): void {
+		if (!unreadMarks.add(key, at)) {
 			return;
 		}
 
@@ -185,7 +185,7 @@
 	/**
 	An entry that is no longer its endpoint's own word names none to use: it gets no new work, and keeps what it has.
 	*/
-	function drainUnreadable({endpoint: id = '', revision: at}: Unreadable, source: BeliefSource): News {
+	function drainUnreadable({endpoint: id = '', revision: at}: UnreadableEntry, source: StateSource): News {
 		const believed = endpoints.get(id);
 		return believed === undefined ? nothing : handlers.endpoint({kind: 'endpoint', revision: at, endpoint: {...believed, state: 'draining'}}, source);
 	}
@@ -267,12 +267,12 @@
 		},
 	};
 
-	function applyChange(change: ClusterChange, source: BeliefSource): News {
-		const handle = handlers[change.kind] as (change: ClusterChange, source: BeliefSource) => News;
+	function applyChange(change: ClusterChange, source: StateSource): News {
+		const handle = handlers[change.kind] as (change: ClusterChange, source: StateSource) => News;
 		return handle(change, source);
 	}
 
-	function applyEach(changes: ClusterChanges, source: BeliefSource): News {
+	function applyEach(changes: ClusterChanges, source: StateSource): News {
 		const news = changes.changes.flatMap(change => applyChange(change, source));
 		setRevision(changes, source);
 		return news;
@@ -281,7 +281,7 @@
 	/**
 	Takes over changes that leave no gap, and tells of all of them: what is not new here may be new to those that are told.
 	*/
-	function applyChanges(changes: ClusterChanges, source: BeliefSource): void {
+	function applyChanges(changes: ClusterChanges, source: StateSource): void {
 		const after = revision;
 		const news = applyEach(changes, source);
 		if (revision > after) {
@@ -291,7 +291,7 @@
 		}
 	}
 
-	function setRevision(changes: ClusterChanges, source: BeliefSource): void {
+	function setRevision(changes: ClusterChanges, source: StateSource): void {
 		if (changes.revision <= revision) {
 			return;
 		}
@@ -302,7 +302,7 @@
 		revision = changes.revision;
 	}
 
-	function applyAll(changes: ClusterChanges, source: BeliefSource): void {
+	function applyAll(changes: ClusterChanges, source: StateSource): void {
 		const listedEndpoints = new Set(changes.changes.flatMap(change => listEndpoint(change)));
 		const listedNodes = new Set(changes.changes.flatMap(change => change.kind === 'node' ? [change.node.id] : []));
 		const removals: readonly Removal[] = [
@@ -321,14 +321,14 @@
 		events,
 		revision: () => revision,
 		configuration: () => configuration,
-		hasUnreadConfiguration: () => findUnread() !== undefined,
+		hasUnreadableConfiguration: () => findUnread() !== undefined,
 		endpoints: endpoints.values,
 		nodes: nodes.values,
 		applyChanges,
 		applyAll,
-		setLapseUntil: lapses.setUntil,
+		setRemovalGraceUntil: lapses.setUntil,
 		digest: () => endpoints.digest() + nodes.digest() + hashEntry('configuration', configuration?.version ?? -1),
-		hasLapsed: () => lapses.count() > 0,
+		hasPendingRemovals: () => lapses.count() > 0,
 		exportState: (isSteady, since) => toState({
 			revision, configuration, configuredAt, endpoints, nodes, unread: findUnread(), isSteady,
 		}, since),
--- a/gateway/cluster-view/src/create-lapse-book.ts
+++ b/gateway/cluster-view/src/create-pending-removals.ts
@@ -1,8 +1,8 @@
 import type {Logger} from '@valvesaddle/logger';
-import type {LapseBook} from './lapse-book.ts';
+import type {PendingRemovals} from './pending-removals.ts';
 import type {Removal} from './removal.ts';
 
-type LapseBookOptions = {
+type PendingRemovalsOptions = {
 	readonly logger: Logger;
 	/**
 	Takes the removals whose entries have not come back in time.
@@ -18,7 +18,7 @@
  lapses.setUntil(performance.now() + 2000);
  lapses.add({kind: 'endpoint-removed', id: 'i-7f', revision: 9});
  */
-export function createLapseBook({logger, onExpired}: LapseBookOptions): LapseBook {
+export function createPendingRemovals({logger, onExpired}: PendingRemovalsOptions): PendingRemovals {
 	const lapsed = new Map<string, Removal>();
 	let until = 0;
 	let timer: NodeJS.Timeout | undefined;
--- a/gateway/cluster-view/src/create-revision-marks.ts
+++ b/gateway/cluster-view/src/create-seen-revisions.ts
@@ -1,4 +1,4 @@
-import type {RevisionMarks} from './revision-marks.ts';
+import type {SeenRevisions} from './seen-revisions.ts';
 
 /**
 Keys that are kept, more than a store holds that foreign writers have not filled.
@@ -13,11 +13,11 @@
  marks.mark('endpoints/i-7f', 7); // true
  marks.mark('endpoints/i-7f', 7); // false
  */
-export function createRevisionMarks(): RevisionMarks {
+export function createSeenRevisions(): SeenRevisions {
 	const marks = new Map<string, number>();
 
 	return {
-		mark(key, revision) {
+		add(key, revision) {
 			if (revision <= (marks.get(key) ?? -1)) {
 				return false;
 			}
--- a/gateway/cluster-view/src/create-store-follower.ts
+++ b/gateway/cluster-view/src/create-store-follower.ts
@@ -1,7 +1,7 @@
 import {setTimeout as wait} from 'node:timers/promises';
 import type {ClusterChanges} from '@valvesaddle/gateway-types';
 import {measureTick} from '@valvesaddle/ticks';
-import {measureFleet} from './measure-fleet.ts';
+import {measureFleetFactor} from './measure-fleet-factor.ts';
 import type {StoreFollower} from './store-follower.ts';
 import type {StoreFollowerOptions} from './store-follower-options.ts';
 
@@ -86,7 +86,7 @@
 		reachableSince = performance.now();
 		lost = Promise.withResolvers<'lost'>();
 		if (wasLost) {
-			view.setLapseUntil(reachableSince + options.lapseGraceMs);
+			view.setRemovalGraceUntil(reachableSince + options.removalGraceMs);
 		}
 
 		firstReached.resolve();
@@ -122,7 +122,7 @@
 	*/
 	function measureRetry(): number {
 		const backoffMs = Math.min(longestRetryMs, options.retryMs * (2 ** Math.min(failures, mostDoublings)));
-		return options.isFollower() ? backoffMs : Math.max(backoffMs, options.retryMs * measureFleet(view.nodes().length));
+		return options.isFollower() ? backoffMs : Math.max(backoffMs, options.retryMs * measureFleetFactor(view.nodes().length));
 	}
 
 	async function listOnce(): Promise<Outcome> {
@@ -166,7 +166,7 @@
 	would bring a call of every one of them.
 	*/
 	function measureGather(): number {
-		const gatherMs = options.gatherMs * Math.min(longestGatherFactor, measureFleet(view.nodes().length));
+		const gatherMs = options.gatherMs * Math.min(longestGatherFactor, measureFleetFactor(view.nodes().length));
 		return options.isFollower() ? gatherMs : Math.max(gatherMs, unplannedGatherMs);
 	}
 
@@ -205,7 +205,7 @@
 	Factor on the term of the lease, so that the renewals of a large fleet stay few.
 	*/
 	function measureTermFactor(): number {
-		return Math.min(longestTermFactor, measureFleet(view.nodes().length));
+		return Math.min(longestTermFactor, measureFleetFactor(view.nodes().length));
 	}
 
 	function measureRenewal(): number {
@@ -272,7 +272,7 @@
 		},
 		isReachable: () => isReachable,
 		hasSettled: () => hasWatched || performance.now() - listedAt > longestSettleMs,
-		isSteady: () => isReachable && isFollowing && (!wasLost || performance.now() - reachableSince > options.lapseGraceMs),
+		isSteady: () => isReachable && isFollowing && (!wasLost || performance.now() - reachableSince > options.removalGraceMs),
 		async close() {
 			closing.abort();
 			lost.resolve('lost');
--- a/gateway/cluster-view/src/create-versioned-map.ts
+++ b/gateway/cluster-view/src/create-versioned-map.ts
@@ -75,8 +75,8 @@
 			digest -= measureEntry(id);
 			return entries.delete(id);
 		},
-		marks: () => [...marks].slice(-mostMarksTold).map(([id, revision]) => ({id, revision})),
-		hasMarksSince: revision => marks.values().toArray().slice(0, -mostMarksTold).every(at => at <= revision),
+		tombstones: () => [...marks].slice(-mostMarksTold).map(([id, revision]) => ({id, revision})),
+		hasTombstonesSince: revision => marks.values().toArray().slice(0, -mostMarksTold).every(at => at <= revision),
 		digest: () => digest,
 		listMissing: (listed, revision) => [...entries].filter(([id, entry]) => !listed.has(id) && entry.revision <= revision).map(([id]) => id),
 	};
--- a/gateway/cluster-view/src/measure-fleet.ts
+++ b/gateway/cluster-view/src/measure-fleet-factor.ts
@@ -14,6 +14,6 @@
  @example
  measureFleet(90); // 10
  */
-export function measureFleet(nodes: number): number {
+export function measureFleetFactor(nodes: number): number {
 	return Math.min(largestFactor, Math.max(1, nodes / usualNodes));
 }
--- a/gateway/cluster-view/src/lapse-book.ts
+++ b/gateway/cluster-view/src/pending-removals.ts
@@ -3,7 +3,7 @@
 /**
 Keeps removals that may only mean that an entry lapsed while the store was away, until the entry has had time to come back.
 */
-export type LapseBook = {
+export type PendingRemovals = {
 	/**
 	Until that time, on the steady clock in milliseconds, removals are kept.
 	*/
--- a/gateway/cluster-view/src/revision-marks.ts
+++ b/gateway/cluster-view/src/seen-revisions.ts
@@ -1,9 +1,9 @@
 /**
 Highest revisions that were met under each key, of the keys met last.
 */
-export type RevisionMarks = {
+export type SeenRevisions = {
 	/**
 	Notes a revision; tells whether it is higher than all before it under the key.
 	*/
-	readonly mark: (key: string, revision: number) => boolean;
+	readonly add: (key: string, revision: number) => boolean;
 };
--- /dev/null
+++ b/gateway/cluster-view/src/state-source.ts
@@ -0,0 +1,4 @@
+/**
+Where a belief comes from.
+*/
+export type StateSource = 'store' | 'peer';
--- a/gateway/cluster-view/src/store-follower-options.ts
+++ b/gateway/cluster-view/src/store-follower-options.ts
@@ -37,7 +37,7 @@
 	/**
 	How long after the return of the store a missing endpoint may still come back.
 	*/
-	readonly lapseGraceMs: number;
+	readonly removalGraceMs: number;
 	/**
 	Whether this node has to watch the store itself; in a large fleet a few nodes do so for all.
 	*/
--- a/gateway/cluster-view/src/to-state.ts
+++ b/gateway/cluster-view/src/to-state.ts
@@ -1,6 +1,6 @@
 import type {GatewayConfiguration, GatewayNode, ServingEndpoint} from '@valvesaddle/gateway-types';
 import type {ClusterState} from './cluster-state.ts';
-import type {Unreadable} from './unreadable.ts';
+import type {UnreadableEntry} from './unreadable-entry.ts';
 import type {VersionedMap} from './versioned-map.ts';
 
 type Beliefs = {
@@ -12,7 +12,7 @@
 	readonly configuredAt: number;
 	readonly endpoints: VersionedMap<ServingEndpoint>;
 	readonly nodes: VersionedMap<GatewayNode>;
-	readonly unread: Unreadable | undefined;
+	readonly unread: UnreadableEntry | undefined;
 	readonly isSteady: boolean;
 };
 
@@ -26,7 +26,7 @@
  */
 export function toState(beliefs: Beliefs, after: number | undefined): ClusterState {
 	const {revision, configuration, configuredAt, endpoints, nodes, unread, isSteady} = beliefs;
-	const since = after !== undefined && endpoints.hasMarksSince(after) && nodes.hasMarksSince(after) ? after : undefined;
+	const since = after !== undefined && endpoints.hasTombstonesSince(after) && nodes.hasTombstonesSince(after) ? after : undefined;
 	const isTold = ({revision: at}: {readonly revision: number}): boolean => since === undefined || at > since;
 	return {
 		revision,
@@ -35,8 +35,8 @@
 		endpoints: endpoints.entries().filter(entry => isTold(entry)).map(({value, revision: at}) => ({endpoint: value, revision: at})),
 		nodes: nodes.entries().filter(entry => isTold(entry)).map(({value, revision: at}) => ({node: value, revision: at})),
 		removed: [
-			...endpoints.marks().filter(mark => isTold(mark)).map(mark => ({kind: 'endpoint-removed' as const, ...mark})),
-			...nodes.marks().filter(mark => isTold(mark)).map(mark => ({kind: 'node-removed' as const, ...mark})),
+			...endpoints.tombstones().filter(mark => isTold(mark)).map(mark => ({kind: 'endpoint-removed' as const, ...mark})),
+			...nodes.tombstones().filter(mark => isTold(mark)).map(mark => ({kind: 'node-removed' as const, ...mark})),
 		],
 		unread,
 		isSteady,
--- a/gateway/cluster-view/src/unreadable.ts
+++ b/gateway/cluster-view/src/unreadable-entry.ts
@@ -3,4 +3,4 @@
 /**
 An entry of the store that cannot be read.
 */
-export type Unreadable = Extract<ClusterChange, {readonly kind: 'unreadable'}>;
+export type UnreadableEntry = Extract<ClusterChange, {readonly kind: 'unreadable'}>;
--- a/gateway/cluster-view/src/versioned-map.ts
+++ b/gateway/cluster-view/src/versioned-map.ts
@@ -17,11 +17,11 @@
 	/**
 	Marks of entries that were removed, the newest of them when there are many.
 	*/
-	readonly marks: () => ReadonlyArray<{readonly id: string; readonly revision: number}>;
+	readonly tombstones: () => ReadonlyArray<{readonly id: string; readonly revision: number}>;
 	/**
 	Whether those marks hold all that was removed after a revision.
 	*/
-	readonly hasMarksSince: (revision: number) => boolean;
+	readonly hasTombstonesSince: (revision: number) => boolean;
 	/**
 	Digest of all ids with their revisions; two maps with the same entries have the same.
 	*/
--- a/gateway/cluster-view/test/cluster-view.test.ts
+++ b/gateway/cluster-view/test/cluster-view.test.ts
@@ -71,7 +71,7 @@
 	t.teardown(clock.enter());
 	const view = createView(t);
 	view.applyAll({revision: 5, changes: [toChange('i-1', 3), toChange('i-2', 4), toChange('i-3', 5)]}, 'store');
-	view.setLapseUntil(performance.now() + 2000);
+	view.setRemovalGraceUntil(performance.now() + 2000);
 	view.applyAll({revision: 9, changes: [toChange('i-3', 5)]}, 'store');
 	t.equal(view.endpoints().length, 3);
 	clock.advance(1500);
@@ -86,7 +86,7 @@
 test('a peer that was in touch with the store all the while is believed at once about removals, another is not', t => {
 	const view = createView(t);
 	view.applyAll({revision: 5, changes: [toChange('i-1', 3)]}, 'store');
-	view.setLapseUntil(performance.now() + 60_000);
+	view.setRemovalGraceUntil(performance.now() + 60_000);
 	const state = {
 		revision: 9, configuration: toConfiguration(4), endpoints: [], nodes: [], removed: [],
 	};
@@ -103,10 +103,10 @@
 test('what a node alone took for lapsed is gone as soon as a steady peer at the same revision says so', t => {
 	const view = createView(t);
 	view.applyAll({revision: 5, changes: [toChange('i-1', 3)]}, 'store');
-	view.setLapseUntil(performance.now() + 60_000);
+	view.setRemovalGraceUntil(performance.now() + 60_000);
 	view.applyChanges({revision: 9, changes: [{kind: 'endpoint-removed', id: 'i-1', revision: 9}]}, 'store');
 	t.equal(view.endpoints().length, 1);
-	t.ok(view.hasLapsed());
+	t.ok(view.hasPendingRemovals());
 	const state = {
 		revision: 9, configuration: undefined, endpoints: [], nodes: [], removed: [],
 	};
@@ -114,7 +114,7 @@
 	t.equal(view.endpoints().length, 1);
 	view.importState({...state, isSteady: true});
 	t.equal(view.endpoints().length, 0);
-	t.notOk(view.hasLapsed());
+	t.notOk(view.hasPendingRemovals());
 	t.end();
 });
 
@@ -152,7 +152,7 @@
 	t.teardown(clock.enter());
 	const view = createView(t);
 	view.applyChanges({revision: 5, changes: [{kind: 'node', revision: 5, node: toNode('n1', '10.0.0.1:7')}]}, 'store');
-	view.setLapseUntil(performance.now() + 2000);
+	view.setRemovalGraceUntil(performance.now() + 2000);
 	view.applyChanges({revision: 6, changes: [{kind: 'node-removed', revision: 6, id: 'n1'}]}, 'store');
 	t.equal(view.nodes().length, 1);
 	clock.advance(2000);
@@ -190,7 +190,7 @@
 		revision: 6, configuration: toConfiguration(3), endpoints: [], nodes: [], removed: [], isSteady: false,
 	});
 	view.applyChanges({revision: 7, changes: [toChange('i-1', 3)]}, 'peer');
-	view.setLapseUntil(performance.now() + 2000);
+	view.setRemovalGraceUntil(performance.now() + 2000);
 	view.applyAll({revision: 9, changes: []}, 'store');
 	clock.advance(2000);
 	view.applyChanges({revision: 9, changes: [toChange('i-3', 10)]}, 'peer');
--- a/gateway/cluster-view/test/store-follower.test.ts
+++ b/gateway/cluster-view/test/store-follower.test.ts
@@ -58,7 +58,7 @@
 		retryMs: 10,
 		leaseMs: 4000,
 		renewMs: 250,
-		lapseGraceMs,
+		removalGraceMs: lapseGraceMs,
 		isFollower: () => true,
 		isNeeded,
 		logger,
@@ -162,15 +162,15 @@
 		},
 		view: {
 			...view,
-			setLapseUntil(time) {
+			setRemovalGraceUntil(time) {
 				graces++;
-				view.setLapseUntil(time);
+				view.setRemovalGraceUntil(time);
 			},
 		},
 		self: {
 			id: 'n1', address: '10.0.0.9:7', token: 'secret', dataCentre: 'a', capacity: 1,
 		},
-		watchMs: 20_000, gatherMs: 1, settleMs: 1, retryMs: 2, leaseMs: 4000, renewMs: 2, lapseGraceMs: 60_000, isFollower: () => true, isNeeded: () => true, logger, metrics,
+		watchMs: 20_000, gatherMs: 1, settleMs: 1, retryMs: 2, leaseMs: 4000, renewMs: 2, removalGraceMs: 60_000, isFollower: () => true, isNeeded: () => true, logger, metrics,
 	});
 	t.teardown(async () => {
 		await follower.close();
@@ -235,15 +235,15 @@
 		},
 		view: {
 			...view,
-			setLapseUntil(time) {
+			setRemovalGraceUntil(time) {
 				state.graces++;
-				view.setLapseUntil(time);
+				view.setRemovalGraceUntil(time);
 			},
 		},
 		self: {
 			id: 'n1', address: '10.0.0.9:7', token: 'secret', dataCentre: 'a', capacity: 1,
 		},
-		watchMs: 20_000, gatherMs: 1, settleMs: 1, retryMs: 2, leaseMs: 4000, renewMs: 2, lapseGraceMs: 60_000, isFollower: () => true, isNeeded, logger, metrics,
+		watchMs: 20_000, gatherMs: 1, settleMs: 1, retryMs: 2, leaseMs: 4000, renewMs: 2, removalGraceMs: 60_000, isFollower: () => true, isNeeded, logger, metrics,
 	});
 	t.teardown(async () => {
 		await follower.close();
--- a/gateway/news/src/create-news-relay.ts
+++ b/gateway/news/src/create-load-aggregator.ts
@@ -6,8 +6,8 @@
 	type LoadNews,
 	type Placement,
 } from '@valvesaddle/selection';
-import type {NewsRelay} from './news-relay.ts';
-import type {OriginNews} from './origin-news.ts';
+import type {LoadAggregator} from './load-aggregator.ts';
+import type {OriginLoadUpdate} from './origin-load-update.ts';
 
 /**
 Placements that are kept for a link; older ones are hints that prompts since then have overtaken.
@@ -48,7 +48,7 @@
  relay.addMember({origin: 'n7', nodes: 1, loads: [['i-7f', load]], placements: []});
  relay.takeForRelay('r2')?.nodes; // 2
  */
-export function createNewsRelay({node}: {readonly node: string}): NewsRelay {
+export function createLoadAggregator({node}: {readonly node: string}): LoadAggregator {
 	const origins = new Map<string, Origin>([[node, {isMember: true, nodes: 1, loads: new Map()}]]);
 	const relayLinks: Links = new Map();
 	const memberLinks: Links = new Map();
@@ -102,7 +102,7 @@
 		}
 	}
 
-	function addNews(news: OriginNews, isMember: boolean): void {
+	function addNews(news: OriginLoadUpdate, isMember: boolean): void {
 		const before = origins.get(news.origin);
 		const loads = before?.loads ?? new Map<string, EndpointLoad>();
 		origins.set(news.origin, {isMember, nodes: news.nodes, loads});
@@ -133,7 +133,7 @@
 		return link;
 	}
 
-	function takeNews(link: Link, nodes: number, measureLoad: (endpoint: string) => EndpointLoad): OriginNews | undefined {
+	function takeNews(link: Link, nodes: number, measureLoad: (endpoint: string) => EndpointLoad): OriginLoadUpdate | undefined {
 		if (link.changed.size === 0 && link.placements.length === 0 && link.nodes === nodes) {
 			return undefined;
 		}
--- a/gateway/news/src/index.ts
+++ b/gateway/news/src/index.ts
@@ -1,3 +1,3 @@
-export {createNewsRelay} from './create-news-relay.ts';
-export type {NewsRelay} from './news-relay.ts';
-export type {OriginNews} from './origin-news.ts';
+export {createLoadAggregator} from './create-load-aggregator.ts';
+export type {LoadAggregator} from './load-aggregator.ts';
+export type {OriginLoadUpdate} from './origin-load-update.ts';
--- a/gateway/news/test/news-relay.test.ts
+++ b/gateway/news/test/load-aggregator.test.ts
@@ -1,6 +1,6 @@
 import {test} from 'tap';
 import {noLoad, type EndpointLoad, type Placement} from '@valvesaddle/selection';
-import {createNewsRelay, type NewsRelay, type OriginNews} from '@valvesaddle/news';
+import {createLoadAggregator, type LoadAggregator, type OriginLoadUpdate} from '@valvesaddle/news';
 
 function toLoad(open: number): EndpointLoad {
 	return {
@@ -8,7 +8,7 @@
 	};
 }
 
-function createNews(origin: string, open: number, change: Partial<OriginNews> = {}): OriginNews {
+function createNews(origin: string, open: number, change: Partial<OriginLoadUpdate> = {}): OriginLoadUpdate {
 	return {
 		origin, nodes: 1, loads: [['i-1', toLoad(open)]], placements: [], ...change,
 	};
@@ -22,7 +22,7 @@
 A relay with links that were told all there was to tell at first.
 */
 function createLinkedRelay() {
-	const relay = createNewsRelay({node: 'r1'});
+	const relay = createLoadAggregator({node: 'r1'});
 	relay.takeForRelay('r9');
 	relay.takeForMember('n9');
 	return relay;
@@ -120,7 +120,7 @@
 	t.end();
 });
 
-function toWork(origin: string, open: number, ids: readonly string[] = ['i-1']): OriginNews {
+function toWork(origin: string, open: number, ids: readonly string[] = ['i-1']): OriginLoadUpdate {
 	return {
 		origin, nodes: 1, loads: ids.map(id => [id, {...noLoad, open}]), placements: [],
 	};
@@ -129,7 +129,7 @@
 /**
 What a linked node knows by a relay, from all messages that it took.
 */
-function createEar(take: () => OriginNews | undefined) {
+function createEar(take: () => OriginLoadUpdate | undefined) {
 	const known = new Map<string, EndpointLoad>();
 	return (): Readonly<Record<string, number>> => {
 		for (let news = take(); news !== undefined; news = take()) {
@@ -143,7 +143,7 @@
 }
 
 test('a member that becomes a relay is no longer counted by the one that told of it before', t => {
-	const relay = createNewsRelay({node: 'r1'});
+	const relay = createLoadAggregator({node: 'r1'});
 	const hear = createEar(() => relay.takeForRelay('r9'));
 	relay.addMember(toWork('n1', 5, ['i-1', 'i-2']));
 	t.same(hear(), {'i-1': 5, 'i-2': 5});
@@ -154,7 +154,7 @@
 });
 
 test('a relay that becomes a member is counted with all its work by the one that tells of it now', t => {
-	const relay = createNewsRelay({node: 'r1'});
+	const relay = createLoadAggregator({node: 'r1'});
 	const hear = createEar(() => relay.takeForRelay('r9'));
 	relay.addGroup(toWork('n1', 5, ['i-1', 'i-2']));
 	t.same(hear(), {});
@@ -164,7 +164,7 @@
 });
 
 test('a linked member that becomes a relay, and one that becomes a member again, keep nothing of what they were told before', t => {
-	const relay: NewsRelay = createNewsRelay({node: 'r1'});
+	const relay: LoadAggregator = createLoadAggregator({node: 'r1'});
 	let isMember = true;
 	const hear = createEar(() => isMember ? relay.takeForMember('x') : relay.takeForRelay('x'));
 	relay.addMember(toWork('n1', 2));
--- a/gateway/overlay/src/choose-parent.ts
+++ b/gateway/overlay/src/choose-parent.ts
@@ -22,7 +22,7 @@
  @example
  chooseParent(overlay, {node: 'n9', dataCentre: 'smolyan', suspects: new Set()});
  */
-export function chooseParent({relays, strengths}: Overlay, {node, dataCentre, suspects}: ParentQuestion): string | undefined {
+export function chooseParent({relays, relativeCapacities: strengths}: Overlay, {node, dataCentre, suspects}: ParentQuestion): string | undefined {
 	if (relays.has(node)) {
 		return undefined;
 	}
--- a/gateway/overlay/src/overlay.ts
+++ b/gateway/overlay/src/overlay.ts
@@ -13,7 +13,7 @@
 	/**
 	What each relay can carry against the strongest of its data centre, above 0 up to 1.
 	*/
-	readonly strengths: ReadonlyMap<string, number>;
+	readonly relativeCapacities: ReadonlyMap<string, number>;
 	/**
 	Relays that follow the store for all.
 	*/
--- a/gateway/overlay/src/plan-overlay.ts
+++ b/gateway/overlay/src/plan-overlay.ts
@@ -38,7 +38,7 @@
 	if (members.length <= meshNodes) {
 		const relays = new Map(members.map(({id, dataCentre}) => [id, dataCentre]));
 		return {
-			isMesh: true, relays, strengths: new Map(), followers: new Set(relays.keys()),
+			isMesh: true, relays, relativeCapacities: new Map(), followers: new Set(relays.keys()),
 		};
 	}
 
@@ -50,7 +50,7 @@
 	return {
 		isMesh: false,
 		relays: new Map(relays.map(({id, dataCentre}) => [id, dataCentre])),
-		strengths: new Map(ranked.flatMap(group => group.map(({id, capacity}) => [id, capacity / (group[0]?.capacity ?? capacity)] as const))),
+		relativeCapacities: new Map(ranked.flatMap(group => group.map(({id, capacity}) => [id, capacity / (group[0]?.capacity ?? capacity)] as const))),
 		followers: new Set(relays.slice(0, followerCount).map(({id}) => id)),
 	};
 }
--- a/node/gateway/src/create-belief-sync.ts
+++ b/node/gateway/src/create-belief-sync.ts
@@ -95,7 +95,7 @@
 	or, as the node that this one hears changes from, what was missed on the way to that revision.
 	*/
 	function isBehind(node: string, {revision, digest}: Word): boolean {
-		return revision === view.revision() ? view.hasLapsed() || (links.isSource(node) && isDifferent(digest)) : revision > view.revision();
+		return revision === view.revision() ? view.hasPendingRemovals() || (links.isSource(node) && isDifferent(digest)) : revision > view.revision();
 	}
 
 	/**
@@ -181,7 +181,7 @@
 	What is newer is enough for a node that believes all up to its revision; one that keeps entries which may have lapsed does not.
 	*/
 	function askState(node: string, isAhead: boolean): void {
-		states.ask(node, isAhead && !view.hasLapsed() ? 'newer' : 'all');
+		states.ask(node, isAhead && !view.hasPendingRemovals() ? 'newer' : 'all');
 	}
 
 	network.events.on('lost', ({data: {node}}) => {
@@ -203,7 +203,7 @@
 		sendHeartbeat() {
 			network.broadcast('cluster.heartbeat', {
 				revision: view.revision(),
-				digest: view.hasLapsed() ? undefined : view.digest(),
+				digest: view.hasPendingRemovals() ? undefined : view.digest(),
 				version: versions.get(),
 				confirmedAgoMs: measureAge(),
 				confirmation: confirmations.youngest(),
@@ -239,9 +239,9 @@
 		getDelay: delays.get,
 		exportState(parameters) {
 			const {since} = stateQuestionSchema.parse(parameters);
-			return view.exportState(isConfirmed() && !view.hasLapsed(), since);
+			return view.exportState(isConfirmed() && !view.hasPendingRemovals(), since);
 		},
-		isCurrent: () => isConfirmed() && !versions.isBehind() && !view.hasUnreadConfiguration(),
+		isCurrent: () => isConfirmed() && !versions.isBehind() && !view.hasUnreadableConfiguration(),
 		isStoreNeeded() {
 			const isNeeded = links.isMesh() || links.isFollower() || !isConfirmed() || isLeftBehind();
 			if (isNeeded !== isFollowing) {
--- a/node/gateway/src/create-gateway.ts
+++ b/node/gateway/src/create-gateway.ts
@@ -75,7 +75,7 @@
 		retryMs: storeSettings.retry_ms,
 		leaseMs: storeSettings.lease_ms,
 		renewMs: storeSettings.renew_ms,
-		lapseGraceMs: storeSettings.lapse_grace_ms,
+		removalGraceMs: storeSettings.lapse_grace_ms,
 		isNeeded: () => sync.isStoreNeeded(),
 		isFollower: () => sync.isFollower(),
 		logger,
--- a/node/gateway/src/create-link-plan.ts
+++ b/node/gateway/src/create-link-plan.ts
@@ -46,7 +46,7 @@
 	*/
 	const opened = new Set<string>();
 	let overlay: Overlay = {
-		isMesh: true, relays: new Map([[self.id, self.dataCentre]]), strengths: new Map(), followers: new Set([self.id]),
+		isMesh: true, relays: new Map([[self.id, self.dataCentre]]), relativeCapacities: new Map(), followers: new Set([self.id]),
 	};
 	let isChanged = true;
 	let parent: string | undefined;
--- a/node/gateway/src/create-news-sync.ts
+++ b/node/gateway/src/create-news-sync.ts
@@ -1,5 +1,5 @@
 import type {PeerNetwork} from '@valvesaddle/network';
-import {createNewsRelay, type OriginNews} from '@valvesaddle/news';
+import {createLoadAggregator, type OriginLoadUpdate} from '@valvesaddle/news';
 import type {Selector} from '@valvesaddle/selection';
 import {formatNews} from './format-news.ts';
 import type {LinkPlan} from './link-plan.ts';
@@ -28,7 +28,7 @@
  news.send(true);
  */
 export function createNewsSync({node: self, network, links, selector, countNodes}: NewsSyncOptions): NewsSync {
-	const relay = createNewsRelay({node: self});
+	const relay = createLoadAggregator({node: self});
 	/**
 	Nodes that each linked node's news stand for.
 	*/
@@ -42,7 +42,7 @@
 	/**
 	Sends news to a node; `false` when there are none.
 	*/
-	function wasSent(node: string, news: OriginNews | undefined): boolean {
+	function wasSent(node: string, news: OriginLoadUpdate | undefined): boolean {
 		if (news === undefined) {
 			return false;
 		}
@@ -72,7 +72,7 @@
 			wasSent(node, isMember ? relay.takeForMember(node) : relay.takeForRelay(node));
 		},
 		applyNews(parameters, node) {
-			const news: OriginNews = {...parseNews(parameters), origin: node};
+			const news: OriginLoadUpdate = {...parseNews(parameters), origin: node};
 			origins.set(node, news.nodes);
 			const current = {...news, ...selector.applyNews(node, news)};
 			if (!links.isRelay(node)) {
--- a/node/gateway/src/create-peer-sync.ts
+++ b/node/gateway/src/create-peer-sync.ts
@@ -1,5 +1,5 @@
 import {setTimeout as wait} from 'node:timers/promises';
-import {measureFleet} from '@valvesaddle/cluster-view';
+import {measureFleetFactor} from '@valvesaddle/cluster-view';
 import {formatIncarnation} from '@valvesaddle/selection';
 import {measureTick} from '@valvesaddle/ticks';
 import {createBeliefSync} from './create-belief-sync.ts';
@@ -72,7 +72,7 @@
 	}
 
 	function measureUsualPause(longestFactor: number): number {
-		return options.newsMs * Math.min(longestFactor, measureFleet(view.nodes().length));
+		return options.newsMs * Math.min(longestFactor, measureFleetFactor(view.nodes().length));
 	}
 
 	function sendNews(): void {
--- a/node/gateway/src/format-news.ts
+++ b/node/gateway/src/format-news.ts
@@ -1,4 +1,4 @@
-import type {OriginNews} from '@valvesaddle/news';
+import type {OriginLoadUpdate} from '@valvesaddle/news';
 import type {NewsMessage} from './news-message.ts';
 
 /**
@@ -12,7 +12,7 @@
  @example
  formatNews({origin: 'n1', nodes: 1, loads: [['i-7f', {...noLoad, open: 2}]], placements: []}).loads; // [['i-7f', 2, [], 0, 0, 0, 0, 0]]
  */
-export function formatNews({nodes, loads, placements}: OriginNews): NewsMessage {
+export function formatNews({nodes, loads, placements}: OriginLoadUpdate): NewsMessage {
 	return {
 		nodes,
 		loads: loads.map(([endpoint, {open, unread, sensitivity, witnesses, silent, readTokens, readMs}]) => [
--- a/node/gateway/test/belief-sync.test.ts
+++ b/node/gateway/test/belief-sync.test.ts
@@ -230,11 +230,11 @@
 	}, 'store');
 	await settle();
 	t.equal(member.revision(), 4);
-	t.ok(follower.hasUnreadConfiguration());
-	t.ok(member.hasUnreadConfiguration(), 'or it denies with 404 what the newer one allows');
+	t.ok(follower.hasUnreadableConfiguration());
+	t.ok(member.hasUnreadableConfiguration(), 'or it denies with 404 what the newer one allows');
 	const late = create();
 	t.teardown(late.close);
 	late.importState(follower.exportState(true));
-	t.ok(late.hasUnreadConfiguration(), 'so does one that takes a whole state');
+	t.ok(late.hasUnreadableConfiguration(), 'so does one that takes a whole state');
 	t.end();
 });
--- a/node/gateway/test/peer-sync.test.ts
+++ b/node/gateway/test/peer-sync.test.ts
@@ -1,7 +1,7 @@
 import Emittery from 'emittery';
 import {okAsync, ResultAsync} from 'neverthrow';
 import {test, type Test} from 'tap';
-import {createClusterView, measureFleet, type ClusterState} from '@valvesaddle/cluster-view';
+import {createClusterView, measureFleetFactor, type ClusterState} from '@valvesaddle/cluster-view';
 import {waitUntil} from '@valvesaddle/fake-fleet';
 import type {GatewayNode} from '@valvesaddle/gateway-types';
 import {createLogger} from '@valvesaddle/logger';
@@ -144,11 +144,11 @@
 test('a node that keeps an entry as lapsed asks a peer at its own revision whether it was removed', async t => {
 	const {view, calls, handlers} = createSync(t);
 	view.applyAll({revision: 5, changes: [{kind: 'endpoint', revision: 3, endpoint: {...peerState.endpoints[0]!.endpoint, id: 'i-2', state: 'ready'}}]}, 'store');
-	view.setLapseUntil(performance.now() + 60_000);
+	view.setRemovalGraceUntil(performance.now() + 60_000);
 	view.applyChanges({revision: 9, changes: [{kind: 'endpoint-removed', id: 'i-2', revision: 9}]}, 'store');
 	t.same(view.endpoints().map(({id}) => id), ['i-2']);
 	handlers['cluster.heartbeat']?.({revision: 9, confirmedAgoMs: 20}, 'n2');
-	await waitUntil(() => !view.hasLapsed());
+	await waitUntil(() => !view.hasPendingRemovals());
 	t.same(view.endpoints().map(({id}) => id), ['i-1']);
 	t.same(calls, ['cluster.state of n2']);
 });
@@ -287,10 +287,10 @@
 });
 
 test('what nodes tell the store comes less often in a larger fleet, up to a bound', t => {
-	t.equal(measureFleet(0), 1);
-	t.equal(measureFleet(9), 1);
-	t.equal(measureFleet(90), 10);
-	t.equal(measureFleet(380), 12);
+	t.equal(measureFleetFactor(0), 1);
+	t.equal(measureFleetFactor(9), 1);
+	t.equal(measureFleetFactor(90), 10);
+	t.equal(measureFleetFactor(380), 12);
 	t.end();
 });
 
