--- a/gateway/news/src/create-load-aggregator.ts
+++ b/gateway/news/src/create-load-aggregator.ts
@@ -10,13 +10,13 @@
 import type {OriginLoadUpdate} from './origin-load-update.ts';
 
 /**
-Placements that are kept for a link; older ones are hints that prompts since then have overtaken.
+Placements kept for a link. Older ones are dropped: they are only hints, and newer prompts supersede them.
 */
-const mostPlacements = 64;
+const maximumPlacementsPerLink = 64;
 /**
-Endpoints that one message tells of, so that what is more important never waits for a long one: some 12 kB.
+Limits an update to about 12 kB, so that it doesn't delay more important messages on the link.
 */
-const mostLoads = 200;
+const maximumLoadsPerUpdate = 200;
 
 type Origin = {
 	readonly isMember: boolean;
@@ -26,12 +26,12 @@
 
 type Link = {
 	/**
-	Endpoints to be told of, the longest waiting first.
+	Endpoints to send, the longest waiting first.
 	*/
 	readonly changed: Set<string>;
 	placements: readonly Placement[];
 	/**
-	Nodes that it was told the sum stands for.
+	Number of nodes in the sums, as last sent.
 	*/
 	nodes: number;
 };
@@ -39,21 +39,21 @@
 type Links = Map<string, Link>;
 
 /**
- Creates the relay of a node's news. Each linked node gets one sum for all others: relays that of the node and its members, so
- that what crosses data centres does not grow with the members; a member that of all nodes but itself, so that what it hears
- does not grow with the fleet.
+ Creates the load aggregator of a node. Each linked node is sent sums instead of the loads of single nodes. Other relays get the
+ sum over this node and its members, so traffic between data centres doesn't grow with the members. A member gets the sum over
+ all nodes except itself, so its traffic doesn't grow with the fleet.
 
  @example
  const relay = createNewsRelay({node: 'n1'});
- relay.addMember({origin: 'n7', nodes: 1, loads: [['i-7f', load]], placements: []});
- relay.takeForRelay('r2')?.nodes; // 2
+ aggregator.addMember({origin: 'n7', nodes: 1, loads: [['i-7f', load]], placements: []});
+ aggregator.takeForRelay('r2')?.nodes; // 2
  */
 export function createLoadAggregator({node}: {readonly node: string}): LoadAggregator {
 	const origins = new Map<string, Origin>([[node, {isMember: true, nodes: 1, loads: new Map()}]]);
 	const relayLinks: Links = new Map();
 	const memberLinks: Links = new Map();
 	/**
-	Sums over all origins, and over this node and its members, until one of their parts changes.
+	Cached sums over all origins, and over this node and its members. Deleted when one of their loads changes.
 	*/
 	const totals = new Map<string, EndpointLoad>();
 	const groupTotals = new Map<string, EndpointLoad>();
@@ -72,7 +72,7 @@
 		return total;
 	}
 
-	function measureGroup(endpoint: string): EndpointLoad {
+	function measureGroupTotal(endpoint: string): EndpointLoad {
 		const total = groupTotals.get(endpoint) ?? addAllLoads(listMembers(), endpoint);
 		groupTotals.set(endpoint, total);
 		return total;
@@ -80,7 +80,7 @@
 
 	function markChanged(links: Links, endpoints: readonly string[], placements: readonly Placement[]): void {
 		for (const link of links.values()) {
-			link.placements = [...link.placements, ...placements].slice(-mostPlacements);
+			link.placements = [...link.placements, ...placements].slice(-maximumPlacementsPerLink);
 			for (const endpoint of endpoints) {
 				link.changed.add(endpoint);
 			}
@@ -88,7 +88,7 @@
 	}
 
 	/**
-	Sums that these endpoints are part of are told anew: to members, and to relays where the group's own work is concerned.
+	Marks the sums of these endpoints as changed: for members, and for relays when the load of the group changed.
 	*/
 	function updateSums(endpoints: readonly string[], placements: readonly Placement[], isOfGroup: boolean): void {
 		for (const endpoint of endpoints) {
@@ -102,43 +102,43 @@
 		}
 	}
 
-	function addNews(news: OriginLoadUpdate, isMember: boolean): void {
-		const before = origins.get(news.origin);
+	function addLoadUpdate(update: OriginLoadUpdate, isMember: boolean): void {
+		const before = origins.get(update.origin);
 		const loads = before?.loads ?? new Map<string, EndpointLoad>();
-		origins.set(news.origin, {isMember, nodes: news.nodes, loads});
-		for (const [endpoint, load] of news.loads) {
+		origins.set(update.origin, {isMember, nodes: update.nodes, loads});
+		for (const [endpoint, load] of update.loads) {
 			loads.set(endpoint, load);
 		}
 
-		updateSums(news.loads.map(([endpoint]) => endpoint), news.placements, isMember);
-		// A node that has become a relay, or a member, enters or leaves the group with all its work.
+		updateSums(update.loads.map(([endpoint]) => endpoint), update.placements, isMember);
+		// A node that became a relay or a member leaves or joins the group with its whole load.
 		if (before !== undefined && before.isMember !== isMember) {
 			updateSums(loads.keys().toArray(), [], true);
 		}
 	}
 
 	/**
-	A link's first news tell all. One that was told as a member or a relay before has heard of endpoints that are not part of its
-	sums any more.
+	A new link is sent all endpoints of its sums. A node that changed between relay and member has old values of endpoints that are
+	no longer in its sums: it is sent the endpoints of all origins, so that these are replaced.
 	*/
-	function openLink(linked: string, known: readonly Origin[]): Link {
+	function openLink(linked: string, summed: readonly Origin[]): Link {
 		const wasLinked = relayLinks.delete(linked) || memberLinks.delete(linked);
-		const told = wasLinked ? listOrigins() : known;
-		return {changed: new Set(told.flatMap(({loads}) => loads.keys().toArray())), placements: [], nodes: 0};
+		const included = wasLinked ? listOrigins() : summed;
+		return {changed: new Set(included.flatMap(({loads}) => loads.keys().toArray())), placements: [], nodes: 0};
 	}
 
-	function findLink(links: Links, linked: string, known: readonly Origin[]): Link {
-		const link = links.get(linked) ?? openLink(linked, known);
+	function findLink(links: Links, linked: string, summed: readonly Origin[]): Link {
+		const link = links.get(linked) ?? openLink(linked, summed);
 		links.set(linked, link);
 		return link;
 	}
 
-	function takeNews(link: Link, nodes: number, measureLoad: (endpoint: string) => EndpointLoad): OriginLoadUpdate | undefined {
+	function takeLoadUpdate(link: Link, nodes: number, measureLoad: (endpoint: string) => EndpointLoad): OriginLoadUpdate | undefined {
 		if (link.changed.size === 0 && link.placements.length === 0 && link.nodes === nodes) {
 			return undefined;
 		}
 
-		const endpoints = link.changed.values().take(mostLoads).toArray();
+		const endpoints = link.changed.values().take(maximumLoadsPerUpdate).toArray();
 		const {placements} = link;
 		for (const endpoint of endpoints) {
 			link.changed.delete(endpoint);
@@ -152,14 +152,14 @@
 	}
 
 	return {
-		addOwn(news: LoadNews) {
-			addNews({origin: node, nodes: 1, ...news}, true);
+		addOwn(update: LoadNews) {
+			addLoadUpdate({origin: node, nodes: 1, ...update}, true);
 		},
-		addMember(news) {
-			addNews(news, true);
+		addMember(update) {
+			addLoadUpdate(update, true);
 		},
-		addGroup(news) {
-			addNews(news, false);
+		addGroup(update) {
+			addLoadUpdate(update, false);
 		},
 		removeOrigin(origin) {
 			const removed = origins.get(origin);
@@ -183,12 +183,12 @@
 		},
 		takeForRelay(relay) {
 			const members = listMembers();
-			return takeNews(findLink(relayLinks, relay, members), countNodes(members), measureGroup);
+			return takeLoadUpdate(findLink(relayLinks, relay, members), countNodes(members), measureGroupTotal);
 		},
 		takeForMember(member) {
 			const own = origins.get(member);
-			const known = listOrigins();
-			return takeNews(findLink(memberLinks, member, known), countNodes(known) - (own?.nodes ?? 0), endpoint => removeLoad(measureTotal(endpoint), own?.loads.get(endpoint) ?? noLoad));
+			const summed = listOrigins();
+			return takeLoadUpdate(findLink(memberLinks, member, summed), countNodes(summed) - (own?.nodes ?? 0), endpoint => removeLoad(measureTotal(endpoint), own?.loads.get(endpoint) ?? noLoad));
 		},
 		removeLink(linked) {
 			relayLinks.delete(linked);
--- a/gateway/news/src/load-aggregator.ts
+++ b/gateway/news/src/load-aggregator.ts
@@ -2,37 +2,39 @@
 import type {OriginLoadUpdate} from './origin-load-update.ts';
 
 /**
-Keeps what a node has to pass on of its own and others' work. What a linked node was not yet told is kept for it alone, each
-endpoint once, so that one that can take little is told less often, and never of what has been overtaken.
+Aggregates the load updates of a node and its peers. The endpoints that changed are kept for each linked node until it is sent
+them, each endpoint once. A slow link gets fewer updates, and always the latest loads.
 */
 export type LoadAggregator = {
-	readonly addOwn: (news: LoadNews) => void;
+	readonly addOwn: (update: LoadNews) => void;
 	/**
-	Takes in news of a node that is linked to this one alone.
+	Adds an update of a member.
 	*/
-	readonly addMember: (news: OriginLoadUpdate) => void;
+	readonly addMember: (update: OriginLoadUpdate) => void;
 	/**
-	Takes in news of another relay, for all its members.
+	Adds an update of another relay, with the sums over it and its members.
 	*/
-	readonly addGroup: (news: OriginLoadUpdate) => void;
+	readonly addGroup: (update: OriginLoadUpdate) => void;
 	/**
-	Forgets a node or relay that is no longer heard.
+	Removes a node or relay that is no longer connected.
 	*/
 	readonly removeOrigin: (origin: string) => void;
 	/**
-	Forgets an incarnation of an endpoint that is gone.
+	Removes an incarnation of an endpoint that was removed.
 	*/
 	readonly removeEndpoint: (endpoint: string) => void;
 	/**
-	What another relay is to be told since the last call, all at the first one: one sum for the node and its members.
+	The next update for another relay: sums over this node and its members, of the endpoints that changed since the last one. A new
+	link is sent all endpoints. `undefined` without changes.
 	*/
 	readonly takeForRelay: (relay: string) => OriginLoadUpdate | undefined;
 	/**
-	What a member is to be told since the last call, all at the first one: one sum for all nodes but itself.
+	The next update for a member: sums over all nodes except itself, of the endpoints that changed since the last one. A new link is
+	sent all endpoints. `undefined` without changes.
 	*/
 	readonly takeForMember: (member: string) => OriginLoadUpdate | undefined;
 	/**
-	Forgets what a linked node was told, as its link is lost or new.
+	Forgets what a linked node was sent; called when its link is lost or new.
 	*/
 	readonly removeLink: (node: string) => void;
 };
--- a/gateway/news/src/origin-load-update.ts
+++ b/gateway/news/src/origin-load-update.ts
@@ -1,12 +1,12 @@
 import type {LoadNews} from '@valvesaddle/selection';
 
 /**
-News of the work of one node, or the sum of several that the node which tells it speaks for.
+A load update of one node, or the sum over several nodes that the origin reports for.
 */
 export type OriginLoadUpdate = LoadNews & {
 	readonly origin: string;
 	/**
-	Nodes whose work it stands for.
+	Number of nodes whose load it includes.
 	*/
 	readonly nodes: number;
 };
--- a/gateway/news/test/load-aggregator.test.ts
+++ b/gateway/news/test/load-aggregator.test.ts
@@ -8,7 +8,7 @@
 	};
 }
 
-function createNews(origin: string, open: number, change: Partial<OriginLoadUpdate> = {}): OriginLoadUpdate {
+function createUpdate(origin: string, open: number, change: Partial<OriginLoadUpdate> = {}): OriginLoadUpdate {
 	return {
 		origin, nodes: 1, loads: [['i-1', toLoad(open)]], placements: [], ...change,
 	};
@@ -19,177 +19,177 @@
 };
 
 /**
-A relay with links that were told all there was to tell at first.
+An aggregator whose links were already sent their first update.
 */
-function createLinkedRelay() {
-	const relay = createLoadAggregator({node: 'r1'});
-	relay.takeForRelay('r9');
-	relay.takeForMember('n9');
-	return relay;
+function createLinkedAggregator() {
+	const aggregator = createLoadAggregator({node: 'r1'});
+	aggregator.takeForRelay('r9');
+	aggregator.takeForMember('n9');
+	return aggregator;
 }
 
-test('other relays are told one sum for a relay and its members', t => {
-	const relay = createLinkedRelay();
-	relay.addOwn({loads: [['i-1', toLoad(1)]], placements: []});
-	relay.addMember(createNews('n1', 2, {placements: [placement]}));
-	relay.addMember(createNews('n2', 4));
-	t.same(relay.takeForRelay('r9'), {
+test('other relays are sent one sum for a relay and its members', t => {
+	const aggregator = createLinkedAggregator();
+	aggregator.addOwn({loads: [['i-1', toLoad(1)]], placements: []});
+	aggregator.addMember(createUpdate('n1', 2, {placements: [placement]}));
+	aggregator.addMember(createUpdate('n2', 4));
+	t.same(aggregator.takeForRelay('r9'), {
 		origin: 'r1', nodes: 3, loads: [['i-1', toLoad(7)]], placements: [placement],
 	});
-	t.equal(relay.takeForRelay('r9'), undefined, 'nothing has changed since');
+	t.equal(aggregator.takeForRelay('r9'), undefined, 'nothing has changed since');
 	t.end();
 });
 
-test('what one relay tells is not passed on to other relays', t => {
-	const relay = createLinkedRelay();
-	relay.addGroup(createNews('r2', 9, {nodes: 10}));
-	t.equal(relay.takeForRelay('r9'), undefined);
-	t.equal(relay.takeForRelay('r8')?.nodes, 1);
-	relay.removeLink('r8');
-	t.same(relay.takeForRelay('r8')?.loads, []);
+test('the update of one relay is not forwarded to other relays', t => {
+	const aggregator = createLinkedAggregator();
+	aggregator.addGroup(createUpdate('r2', 9, {nodes: 10}));
+	t.equal(aggregator.takeForRelay('r9'), undefined);
+	t.equal(aggregator.takeForRelay('r8')?.nodes, 1);
+	aggregator.removeLink('r8');
+	t.same(aggregator.takeForRelay('r8')?.loads, []);
 	t.end();
 });
 
-test('a member is told one sum for all nodes but itself, each endpoint as it is last known', t => {
-	const relay = createLinkedRelay();
-	relay.addOwn({loads: [['i-1', toLoad(1)]], placements: []});
-	relay.addMember(createNews('n9', 16, {loads: [['i-1', toLoad(16)], ['i-2', toLoad(16)]]}));
-	relay.addMember(createNews('n1', 2));
-	relay.addMember(createNews('n1', 4, {placements: [placement]}));
-	relay.addGroup(createNews('r2', 8, {nodes: 10}));
-	t.same(relay.takeForMember('n9'), {
+test('a member is sent one sum for all nodes except itself, with the latest load of each endpoint', t => {
+	const aggregator = createLinkedAggregator();
+	aggregator.addOwn({loads: [['i-1', toLoad(1)]], placements: []});
+	aggregator.addMember(createUpdate('n9', 16, {loads: [['i-1', toLoad(16)], ['i-2', toLoad(16)]]}));
+	aggregator.addMember(createUpdate('n1', 2));
+	aggregator.addMember(createUpdate('n1', 4, {placements: [placement]}));
+	aggregator.addGroup(createUpdate('r2', 8, {nodes: 10}));
+	t.same(aggregator.takeForMember('n9'), {
 		origin: 'r1', nodes: 12, loads: [['i-1', toLoad(13)], ['i-2', toLoad(0)]], placements: [placement],
 	});
-	t.equal(relay.takeForMember('n9'), undefined, 'nothing has changed since');
-	t.same(relay.takeForMember('n8'), {
+	t.equal(aggregator.takeForMember('n9'), undefined, 'nothing has changed since');
+	t.same(aggregator.takeForMember('n8'), {
 		origin: 'r1', nodes: 13, loads: [['i-1', toLoad(29)], ['i-2', toLoad(16)]], placements: [],
 	});
 	t.end();
 });
 
-test('the work of a member that is lost leaves the sums for relays and for members', t => {
-	const relay = createLinkedRelay();
-	relay.addMember(createNews('n1', 2));
-	relay.addMember(createNews('n2', 4));
-	relay.takeForRelay('r9');
-	relay.takeForMember('n9');
-	relay.removeOrigin('n1');
-	t.same(relay.takeForRelay('r9'), createNews('r1', 4, {nodes: 2}));
-	t.same(relay.takeForMember('n9'), createNews('r1', 4, {nodes: 2}));
+test('the load of a lost member is removed from the sums for relays and for members', t => {
+	const aggregator = createLinkedAggregator();
+	aggregator.addMember(createUpdate('n1', 2));
+	aggregator.addMember(createUpdate('n2', 4));
+	aggregator.takeForRelay('r9');
+	aggregator.takeForMember('n9');
+	aggregator.removeOrigin('n1');
+	t.same(aggregator.takeForRelay('r9'), createUpdate('r1', 4, {nodes: 2}));
+	t.same(aggregator.takeForMember('n9'), createUpdate('r1', 4, {nodes: 2}));
 	t.end();
 });
 
-test('a relay that is lost leaves the sum for members, and what it has told again counts anew', t => {
-	const relay = createLinkedRelay();
-	relay.addGroup(createNews('r2', 9, {nodes: 10, loads: [['i-1', toLoad(9)], ['i-2', toLoad(3)]]}));
-	relay.takeForMember('n9');
-	relay.removeOrigin('r2');
-	t.equal(relay.takeForRelay('r9'), undefined);
-	relay.addGroup(createNews('r2', 4, {nodes: 2}));
-	t.same(relay.takeForMember('n9'), createNews('r1', 4, {nodes: 3, loads: [['i-1', toLoad(4)], ['i-2', noLoad]]}));
-	relay.removeOrigin('r2');
-	t.same(relay.takeForMember('n9'), createNews('r1', 0, {loads: [['i-1', noLoad]]}));
-	relay.removeOrigin('r2');
-	t.equal(relay.takeForMember('n9'), undefined);
+test('the load of a lost relay is removed from the sum for members, and only its later updates count when it returns', t => {
+	const aggregator = createLinkedAggregator();
+	aggregator.addGroup(createUpdate('r2', 9, {nodes: 10, loads: [['i-1', toLoad(9)], ['i-2', toLoad(3)]]}));
+	aggregator.takeForMember('n9');
+	aggregator.removeOrigin('r2');
+	t.equal(aggregator.takeForRelay('r9'), undefined);
+	aggregator.addGroup(createUpdate('r2', 4, {nodes: 2}));
+	t.same(aggregator.takeForMember('n9'), createUpdate('r1', 4, {nodes: 3, loads: [['i-1', toLoad(4)], ['i-2', noLoad]]}));
+	aggregator.removeOrigin('r2');
+	t.same(aggregator.takeForMember('n9'), createUpdate('r1', 0, {loads: [['i-1', noLoad]]}));
+	aggregator.removeOrigin('r2');
+	t.equal(aggregator.takeForMember('n9'), undefined);
 	t.end();
 });
 
-test('a link that could take nothing for a while is told the last word on each endpoint, others as it came', t => {
-	const relay = createLinkedRelay();
-	relay.takeForMember('n8');
+test('a slow link is sent only the latest load of each endpoint, other links are sent each change', t => {
+	const aggregator = createLinkedAggregator();
+	aggregator.takeForMember('n8');
 	for (let open = 1; open <= 1000; open++) {
-		relay.addMember(createNews('n1', open, {placements: [placement]}));
-		t.same(relay.takeForMember('n8'), createNews('r1', open, {nodes: 2, placements: [placement]}));
+		aggregator.addMember(createUpdate('n1', open, {placements: [placement]}));
+		t.same(aggregator.takeForMember('n8'), createUpdate('r1', open, {nodes: 2, placements: [placement]}));
 	}
 
-	const late = relay.takeForMember('n9');
+	const late = aggregator.takeForMember('n9');
 	t.same(late?.loads, [['i-1', toLoad(1000)]]);
 	t.equal(late?.placements.length, 64);
-	t.equal(relay.takeForRelay('r9')?.placements.length, 64);
+	t.equal(aggregator.takeForRelay('r9')?.placements.length, 64);
 	t.end();
 });
 
-test('one message tells of so many endpoints at most, the longest waiting first, and none is left out', t => {
-	const relay = createLinkedRelay();
+test('an update is limited in its endpoints, sends the longest waiting first and leaves none out', t => {
+	const aggregator = createLinkedAggregator();
 	const ids = Array.from({length: 450}, (_value, index) => `i-${index}`);
-	relay.addMember(createNews('n1', 1, {loads: ids.map(id => [id, toLoad(1)])}));
-	const told = [1, 2, 3].map(() => relay.takeForMember('n9')?.loads.map(([id]) => id) ?? []);
-	t.same(told.map(({length}) => length), [200, 200, 50]);
-	t.same(told.flat(), ids);
-	t.equal(relay.takeForMember('n9'), undefined);
+	aggregator.addMember(createUpdate('n1', 1, {loads: ids.map(id => [id, toLoad(1)])}));
+	const sent = [1, 2, 3].map(() => aggregator.takeForMember('n9')?.loads.map(([id]) => id) ?? []);
+	t.same(sent.map(({length}) => length), [200, 200, 50]);
+	t.same(sent.flat(), ids);
+	t.equal(aggregator.takeForMember('n9'), undefined);
 	t.end();
 });
 
-function toWork(origin: string, open: number, ids: readonly string[] = ['i-1']): OriginLoadUpdate {
+function toLoadUpdate(origin: string, open: number, ids: readonly string[] = ['i-1']): OriginLoadUpdate {
 	return {
 		origin, nodes: 1, loads: ids.map(id => [id, {...noLoad, open}]), placements: [],
 	};
 }
 
 /**
-What a linked node knows by a relay, from all messages that it took.
+Open requests by endpoint, as a linked node has them after all updates so far.
 */
-function createEar(take: () => OriginLoadUpdate | undefined) {
-	const known = new Map<string, EndpointLoad>();
+function createReceiver(take: () => OriginLoadUpdate | undefined) {
+	const received = new Map<string, EndpointLoad>();
 	return (): Readonly<Record<string, number>> => {
-		for (let news = take(); news !== undefined; news = take()) {
-			for (const [id, load] of news.loads) {
-				known.set(id, load);
+		for (let update = take(); update !== undefined; update = take()) {
+			for (const [id, load] of update.loads) {
+				received.set(id, load);
 			}
 		}
 
-		return Object.fromEntries(known.entries().filter(([, {open}]) => open > 0).map(([id, {open}]) => [id, open]));
+		return Object.fromEntries(received.entries().filter(([, {open}]) => open > 0).map(([id, {open}]) => [id, open]));
 	};
 }
 
-test('a member that becomes a relay is no longer counted by the one that told of it before', t => {
-	const relay = createLoadAggregator({node: 'r1'});
-	const hear = createEar(() => relay.takeForRelay('r9'));
-	relay.addMember(toWork('n1', 5, ['i-1', 'i-2']));
-	t.same(hear(), {'i-1': 5, 'i-2': 5});
-	// It tells r9 itself from now on; here it changes at one endpoint only.
-	relay.addGroup(toWork('n1', 6));
-	t.same(hear(), {}, 'r9 hears n1 itself');
+test('a member that becomes a relay is removed from the sum of its former relay', t => {
+	const aggregator = createLoadAggregator({node: 'r1'});
+	const readOpen = createReceiver(() => aggregator.takeForRelay('r9'));
+	aggregator.addMember(toLoadUpdate('n1', 5, ['i-1', 'i-2']));
+	t.same(readOpen(), {'i-1': 5, 'i-2': 5});
+	// From now on n1 sends its load to r9 itself. Its update has one endpoint only.
+	aggregator.addGroup(toLoadUpdate('n1', 6));
+	t.same(readOpen(), {}, 'r9 receives the load of n1 directly');
 	t.end();
 });
 
-test('a relay that becomes a member is counted with all its work by the one that tells of it now', t => {
-	const relay = createLoadAggregator({node: 'r1'});
-	const hear = createEar(() => relay.takeForRelay('r9'));
-	relay.addGroup(toWork('n1', 5, ['i-1', 'i-2']));
-	t.same(hear(), {});
-	relay.addMember(toWork('n1', 6));
-	t.same(hear(), {'i-1': 6, 'i-2': 5});
+test('the whole load of a relay that becomes a member is added to the sum of its new relay', t => {
+	const aggregator = createLoadAggregator({node: 'r1'});
+	const readOpen = createReceiver(() => aggregator.takeForRelay('r9'));
+	aggregator.addGroup(toLoadUpdate('n1', 5, ['i-1', 'i-2']));
+	t.same(readOpen(), {});
+	aggregator.addMember(toLoadUpdate('n1', 6));
+	t.same(readOpen(), {'i-1': 6, 'i-2': 5});
 	t.end();
 });
 
-test('a linked member that becomes a relay, and one that becomes a member again, keep nothing of what they were told before', t => {
-	const relay: LoadAggregator = createLoadAggregator({node: 'r1'});
+test('a linked node that changes between member and relay keeps no loads from its former role', t => {
+	const aggregator: LoadAggregator = createLoadAggregator({node: 'r1'});
 	let isMember = true;
-	const hear = createEar(() => isMember ? relay.takeForMember('x') : relay.takeForRelay('x'));
-	relay.addMember(toWork('n1', 2));
-	relay.addGroup(toWork('r2', 7, ['i-1', 'i-2']));
-	t.same(hear(), {'i-1': 9, 'i-2': 7});
+	const readOpen = createReceiver(() => isMember ? aggregator.takeForMember('x') : aggregator.takeForRelay('x'));
+	aggregator.addMember(toLoadUpdate('n1', 2));
+	aggregator.addGroup(toLoadUpdate('r2', 7, ['i-1', 'i-2']));
+	t.same(readOpen(), {'i-1': 9, 'i-2': 7});
 	isMember = false;
-	t.same(hear(), {'i-1': 2}, 'r2 tells x of its own work itself');
+	t.same(readOpen(), {'i-1': 2}, 'r2 sends x its own load directly');
 	isMember = true;
-	relay.addMember(toWork('n1', 3));
-	t.same(hear(), {'i-1': 10, 'i-2': 7});
+	aggregator.addMember(toLoadUpdate('n1', 3));
+	t.same(readOpen(), {'i-1': 10, 'i-2': 7});
 	isMember = false;
-	t.same(hear(), {'i-1': 3});
+	t.same(readOpen(), {'i-1': 3});
 	t.end();
 });
 
-test('an incarnation that is gone is told to nobody any more, linked now or later', t => {
-	const relay = createLinkedRelay();
-	relay.addOwn({loads: [['i-1', toLoad(1)], ['i-2', toLoad(1)]], placements: [placement]});
-	relay.addMember(createNews('n1', 2));
-	relay.addGroup(createNews('r2', 4));
-	relay.removeEndpoint('i-1');
-	t.match(relay.takeForRelay('r9'), {loads: [['i-2', toLoad(1)]], placements: []});
-	t.match(relay.takeForMember('n9'), {loads: [['i-2', toLoad(1)]], placements: []});
-	t.same(relay.takeForMember('new')?.loads, [['i-2', toLoad(1)]]);
-	relay.addMember(createNews('n1', 3));
-	t.same(relay.takeForRelay('r9')?.loads, [['i-1', toLoad(3)]], 'sums of what was told since');
+test('a removed incarnation is no longer sent, neither on present nor on new links', t => {
+	const aggregator = createLinkedAggregator();
+	aggregator.addOwn({loads: [['i-1', toLoad(1)], ['i-2', toLoad(1)]], placements: [placement]});
+	aggregator.addMember(createUpdate('n1', 2));
+	aggregator.addGroup(createUpdate('r2', 4));
+	aggregator.removeEndpoint('i-1');
+	t.match(aggregator.takeForRelay('r9'), {loads: [['i-2', toLoad(1)]], placements: []});
+	t.match(aggregator.takeForMember('n9'), {loads: [['i-2', toLoad(1)]], placements: []});
+	t.same(aggregator.takeForMember('new')?.loads, [['i-2', toLoad(1)]]);
+	aggregator.addMember(createUpdate('n1', 3));
+	t.same(aggregator.takeForRelay('r9')?.loads, [['i-1', toLoad(3)]], 'sums include only loads added since');
 	t.end();
 });
