--- a/gateway/overlay/src/overlay.ts
+++ b/gateway/overlay/src/overlay.ts
@@ -1,5 +1,5 @@
 /**
-How the nodes of a fleet are linked. All nodes that know the same members plan alike.
+How the nodes of a fleet are linked. Nodes with the same list of members plan the same overlay.
 */
 export type Overlay = {
 	/**
@@ -7,15 +7,15 @@
 	*/
 	readonly isMesh: boolean;
 	/**
-	Nodes that are linked with each other and pass news on, the best first, and their data centres.
+	Nodes that are linked with each other and forward for their members, by rank, with their data centres.
 	*/
 	readonly relays: ReadonlyMap<string, string>;
 	/**
-	What each relay can carry against the strongest of its data centre, above 0 up to 1.
+	Capacity of each relay relative to the largest in its data centre, above 0 up to 1.
 	*/
 	readonly relativeCapacities: ReadonlyMap<string, number>;
 	/**
-	Relays that follow the store for all.
+	Relays that watch the store for all nodes.
 	*/
 	readonly followers: ReadonlySet<string>;
 };
--- a/gateway/overlay/src/plan-overlay.ts
+++ b/gateway/overlay/src/plan-overlay.ts
@@ -12,24 +12,23 @@
 };
 
 /**
-Relays in a data centre at least, so that the loss of one leaves another near.
+When one relay is lost, its members can link to another in the same data centre.
 */
-const leastRelays = 2;
+const minimumRelaysPerDataCentre = 2;
 /**
-Nodes that follow the store in a fleet with relays: enough that the store refuses or loses some of them without harm.
+Nodes that watch the store in a fleet with relays. Several, since the store may refuse or lose some of them.
 */
 const followerCount = 4;
 const rankKey = 'relay';
 /**
-Part of the capacity of its data centre's strongest node that a relay has at least: a weaker one would get as many members as the
-strongest, and carry them worse than it can.
+Smallest capacity of a relay, as a share of the largest capacity in its data centre.
 */
-const leastCapacityPart = 0.5;
+const minimumCapacityShare = 0.5;
 
 /**
- Plans the links of a fleet. A small one is a full mesh. In a larger one the square root of its nodes are relays, spread over
- the data centres, so that the links of a relay and of the fleet's news grow with the square root only; every other node
- is linked to one relay.
+ Plans the links of a fleet. A small fleet is a full mesh. In a larger one, about the square root of its nodes are relays, spread
+ over the data centres, and every other node is linked to one relay. The links of a relay and the load updates it sends then grow
+ only with the square root.
 
  @example
  planOverlay(nodes, {meshNodes: 16}).relays.size; // 8 of 64 nodes
@@ -42,11 +41,11 @@
 		};
 	}
 
-	const centres = Map.groupBy(members, ({dataCentre}) => dataCentre);
-	const perCentre = Math.max(leastRelays, Math.round(Math.sqrt(members.length) / centres.size));
-	const ranked = [...centres].toSorted(([a], [b]) => a.localeCompare(b)).map(([, group]) => pickRelays(rankMembers(group), perCentre));
-	// The first of every data centre come before the second of any.
-	const relays = Array.from({length: perCentre}, (_, rank) => ranked.flatMap(group => group[rank] ?? [])).flat();
+	const dataCentres = Map.groupBy(members, ({dataCentre}) => dataCentre);
+	const relaysPerDataCentre = Math.max(minimumRelaysPerDataCentre, Math.round(Math.sqrt(members.length) / dataCentres.size));
+	const ranked = [...dataCentres].toSorted(([a], [b]) => a.localeCompare(b)).map(([, group]) => pickRelays(rankMembers(group), relaysPerDataCentre));
+	// The first relay of every data centre ranks before the second of any, so that the followers are spread.
+	const relays = Array.from({length: relaysPerDataCentre}, (_, rank) => ranked.flatMap(group => group[rank] ?? [])).flat();
 	return {
 		isMesh: false,
 		relays: new Map(relays.map(({id, dataCentre}) => [id, dataCentre])),
@@ -56,16 +55,16 @@
 }
 
 /**
-The strongest of a data centre, so many at most.
+The nodes of a data centre with the largest capacities, up to `maximumRelays`.
 */
-function pickRelays(ranked: readonly Member[], most: number): readonly Member[] {
-	const least = (ranked[0]?.capacity ?? 0) * leastCapacityPart;
-	const strong = ranked.filter(({capacity}) => capacity >= least);
-	return ranked.slice(0, Math.min(most, Math.max(leastRelays, strong.length)));
+function pickRelays(ranked: readonly Member[], maximumRelays: number): readonly Member[] {
+	const minimumCapacity = (ranked[0]?.capacity ?? 0) * minimumCapacityShare;
+	const eligible = ranked.filter(({capacity}) => capacity >= minimumCapacity);
+	return ranked.slice(0, Math.min(maximumRelays, Math.max(minimumRelaysPerDataCentre, eligible.length)));
 }
 
 /**
-The strongest first; equal ones in an order by hash.
+By descending capacity; nodes of equal capacity by hash.
 */
 function rankMembers(members: readonly Member[]): readonly Member[] {
 	const byId = new Map(members.map(member => [member.id, member]));
