--- a/gateway/routes/src/create-route-index.ts
+++ b/gateway/routes/src/create-route-index.ts
@@ -5,8 +5,8 @@
 import type {RouteIndex} from './route-index.ts';
 
 /**
- Compiles a configuration into an index. Prefixes are looked up segment by segment, so the cost of a look-up does not
- grow with the number of routes.
+ Creates the route index of a configuration. Prefixes are looked up segment by segment, so the cost of a lookup doesn't grow with
+ the number of routes.
 
  @example
  const index = createRouteIndex(configuration);
--- a/gateway/routes/src/hash-api-key.ts
+++ b/gateway/routes/src/hash-api-key.ts
@@ -1,7 +1,7 @@
 import {hash} from 'node:crypto';
 
 /**
- Hash under which an API key is kept.
+ Hashes an API key as in `keyHashes` of a client account: SHA-256 in Base64.
 
  @example
  hashApiKey('n2ctnfzs').length; // 44
--- a/gateway/routes/test/route-index.test.ts
+++ b/gateway/routes/test/route-index.test.ts
@@ -18,7 +18,7 @@
 	accounts: [{name: 'sawmill', keyHashes: [hashApiKey('key')], priority: 0}],
 };
 
-test('the longest prefix of the host decides', t => {
+test('the longest matching prefix of the host is chosen', t => {
 	const index = createRouteIndex(configuration);
 	const cases: ReadonlyArray<readonly [host: string, path: string, name: string | undefined]> = [
 		['permits.example', '/a/x', 'base'],
