--- a/gateway/cluster-view/src/cluster-events.ts
+++ b/gateway/cluster-view/src/cluster-events.ts
@@ -7,12 +7,12 @@
 import type {StateSource} from './state-source.ts';
 
 /**
-What a cluster view tells of.
+Events of a cluster view.
 */
 export type ClusterEvents = {
 	configuration: {readonly configuration: GatewayConfiguration};
 	/**
-	A process has started again under the id of `before`, told once and before `endpoint`: whatever was kept of `before` is of no use.
+	A process started again under the id of `before`, so all state about `before` is obsolete. Emitted once, ahead of `endpoint`.
 	*/
 	incarnation: {readonly endpoint: ServingEndpoint; readonly before: ServingEndpoint};
 	endpoint: {readonly endpoint: ServingEndpoint};
@@ -20,11 +20,11 @@
 	node: {readonly node: GatewayNode};
 	nodeRemoved: {readonly id: string};
 	/**
-	An entry changed that says nothing of the cluster.
+	An entry changed that is not part of the cluster state.
 	*/
 	entry: {readonly key: string; readonly isRemoved: boolean};
 	/**
-	What is believed went on from the revision `after`, by changes that leave no gap and whatever way they came.
+	The view applied changes on top of the revision `after`, without a gap.
 	*/
 	advanced: {readonly after: number; readonly changes: ClusterChanges; readonly source: StateSource};
 };
--- a/gateway/cluster-view/src/cluster-state.ts
+++ b/gateway/cluster-view/src/cluster-state.ts
@@ -3,27 +3,27 @@
 import type {UnreadableEntry} from './unreadable-entry.ts';
 
 /**
-All that a node believes, as it tells a peer that is behind.
+The cluster state of a node, as sent to a peer that is behind.
 */
 export type ClusterState = {
 	readonly revision: number;
 	/**
-	Set when the state holds only what is newer than this revision.
+	Set when the state holds only entries newer than this revision.
 	*/
 	readonly since?: number | undefined;
 	readonly configuration: GatewayConfiguration | undefined;
 	readonly endpoints: ReadonlyArray<{readonly endpoint: ServingEndpoint; readonly revision: number}>;
 	readonly nodes: ReadonlyArray<{readonly node: GatewayNode; readonly revision: number}>;
 	/**
-	Endpoints and nodes that were removed of late, with the revisions at which they were.
+	Endpoints and nodes that were removed recently, with the revisions of their removal.
 	*/
 	readonly removed: readonly Removal[];
 	/**
-	A newer configuration than the one in force that is there and cannot be read.
+	A configuration that is newer than the one in force and cannot be decoded.
 	*/
 	readonly unread?: UnreadableEntry | undefined;
 	/**
-	Whether the node was in touch with the store all the while, so that what is missing here was removed and did not lapse.
+	Whether the node was connected to the store without a gap, so that a missing entry was removed and did not only lose its lease.
 	*/
 	readonly isSteady: boolean;
 };
--- a/gateway/cluster-view/src/cluster-view.ts
+++ b/gateway/cluster-view/src/cluster-view.ts
@@ -10,42 +10,42 @@
 import type {ClusterState} from './cluster-state.ts';
 
 /**
-What a node believes of the cluster. A belief gives way only to one of a higher revision, that in an endpoint only to one of
-the same or a later incarnation.
+A node's view of the cluster. An entry is replaced only by one of a higher revision, an endpoint's only by one of the same or a
+later incarnation.
 */
 export type ClusterView = {
 	readonly events: Emittery<ClusterEvents>;
 	readonly revision: () => number;
 	readonly configuration: () => GatewayConfiguration | undefined;
 	/**
-	Whether a newer configuration than the one in force is there that cannot be read.
+	Whether there is a configuration that is newer than the one in force and cannot be decoded.
 	*/
 	readonly hasUnreadableConfiguration: () => boolean;
 	readonly endpoints: () => readonly ServingEndpoint[];
 	readonly nodes: () => readonly GatewayNode[];
 	/**
-	Takes over what has changed.
+	Applies changes that leave no gap after the view's revision.
 	*/
 	readonly applyChanges: (changes: ClusterChanges, source: StateSource) => void;
 	/**
-	Takes over everything that a source holds; what it lacks was removed.
+	Applies the full contents of a source: entries that it lacks were removed.
 	*/
 	readonly applyAll: (changes: ClusterChanges, source: StateSource) => void;
 	/**
-	Until that time, on the steady clock in milliseconds, removed endpoints count as lapsed and are kept.
+	Sets until when removals from the store are held, in milliseconds on the monotonic clock: the leases of these entries may only have
+	expired in a store outage.
 	*/
 	readonly setRemovalGraceUntil: (time: number) => void;
 	/**
-	Digest of all that is believed. At the same revision it shows whether two nodes believe the same, which the revision alone
-	does not.
+	Digest of the view. It shows whether two nodes at the same revision have the same entries.
 	*/
 	readonly digest: () => number;
 	/**
-	Whether entries are kept that may only have lapsed.
+	Whether removals are held for the grace period.
 	*/
 	readonly hasPendingRemovals: () => boolean;
 	/**
-	What a peer is told: all, or what is newer than a revision where that is known for sure.
+	Exports the cluster state for a peer: all entries, or those newer than `since` if the tombstones reach back to it.
 	*/
 	readonly exportState: (isSteady: boolean, since?: number) => ClusterState;
 	readonly importState: (state: ClusterState) => void;
--- a/gateway/cluster-view/src/create-cluster-view.ts
+++ b/gateway/cluster-view/src/create-cluster-view.ts
@@ -21,21 +21,21 @@
 
 type Handlers = {
 	/**
-	Returns what was new.
+	Returns the changes that were new to the view.
 	*/
-	readonly [Kind in ClusterChange['kind']]: (change: Extract<ClusterChange, {readonly kind: Kind}>, source: StateSource) => News;
+	readonly [Kind in ClusterChange['kind']]: (change: Extract<ClusterChange, {readonly kind: Kind}>, source: StateSource) => AppliedChanges;
 };
 
-type News = readonly ClusterChange[];
+type AppliedChanges = readonly ClusterChange[];
 
 type EndpointChange = Extract<ClusterChange, {readonly kind: 'endpoint'}>;
 
-const nothing: News = [];
+const noChanges: AppliedChanges = [];
 
 /**
-Longest reason of an entry that cannot be read, in characters: whoever wrote it chose its length.
+Limits the logged reason of an unreadable entry: it may quote text of any length from the entry.
 */
-const longestReason = 200;
+const maximumReasonCharacters = 200;
 
 /**
  Creates a node's view of the cluster, empty at first.
@@ -46,16 +46,16 @@
  */
 export function createClusterView({logger, metrics}: ClusterViewOptions): ClusterView {
 	const events = new Emittery<ClusterEvents>();
-	const endpoints = createVersionedMap<ServingEndpoint>(getBirth);
+	const endpoints = createVersionedMap<ServingEndpoint>(getStartTime);
 	const nodes = createVersionedMap<GatewayNode>();
-	const lapses = createPendingRemovals({logger, onExpired: removeLapsed});
+	const pendingRemovals = createPendingRemovals({logger, onExpired: applyPendingRemovals});
 	/**
-	Revisions of entries that were told of in the log: each list and each peer brings them again.
+	Revisions that were logged: each list and each peer sends them again.
 	*/
-	const unreadMarks = createSeenRevisions();
-	const outdatedMarks = createSeenRevisions();
+	const seenUnreadable = createSeenRevisions();
+	const seenOutdated = createSeenRevisions();
 	/**
-	Node that registered last at each address, and the revision at which it did.
+	Node that registered last at each address, and the revision of its registration.
 	*/
 	const addresses = new Map<string, {readonly id: string; readonly at: number}>();
 	let configuration: GatewayConfiguration | undefined;
@@ -63,22 +63,22 @@
 	/**
 	Revision of the configuration in force.
 	*/
-	let configuredAt = -1;
+	let configurationRevision = -1;
 	/**
-	The last configuration that could not be read.
+	The last configuration that could not be decoded.
 	*/
-	let unread: UnreadableEntry | undefined;
+	let unreadable: UnreadableEntry | undefined;
 
-	function findUnread(): UnreadableEntry | undefined {
-		return unread !== undefined && unread.revision > configuredAt ? unread : undefined;
+	function findUnreadable(): UnreadableEntry | undefined {
+		return unreadable !== undefined && unreadable.revision > configurationRevision ? unreadable : undefined;
 	}
 
-	function removeEndpoint(removal: Removal, source: StateSource): News {
+	function removeEndpoint(removal: Removal, source: StateSource): AppliedChanges {
 		const {id, revision: at} = removal;
 		const endpoint = endpoints.get(id);
 		const wasKnown = endpoints.remove(id, at);
 		if (!wasKnown || endpoint === undefined) {
-			return nothing;
+			return noChanges;
 		}
 
 		metrics.increment('gateway.endpoints-removed');
@@ -89,44 +89,44 @@
 		return [removal];
 	}
 
-	function removeNode(removal: Removal): News {
+	function removeNode(removal: Removal): AppliedChanges {
 		if (!nodes.remove(removal.id, removal.revision)) {
-			return nothing;
+			return noChanges;
 		}
 
 		void events.emit('nodeRemoved', {id: removal.id});
 		return [removal];
 	}
 
-	const removers: Readonly<Record<Removal['kind'], (removal: Removal, source: StateSource) => News>> = {
+	const removers: Readonly<Record<Removal['kind'], (removal: Removal, source: StateSource) => AppliedChanges>> = {
 		'endpoint-removed': removeEndpoint,
 		'node-removed': removeNode,
 	};
 
-	function removeLapsed(removals: readonly Removal[]): void {
+	function applyPendingRemovals(removals: readonly Removal[]): void {
 		for (const removal of removals) {
 			removers[removal.kind](removal, 'store');
 		}
 
-		// Peers had the revision before, without these removals.
+		// Peers have this revision already, but without these removals.
 		void events.emit('advanced', {after: revision, changes: {revision, changes: removals}, source: 'store'});
 	}
 
 	/**
-	An entry that may only have lapsed while the store was away is kept until it has had time to come back.
+	Holds the removal of an entry whose lease may have expired in a store outage until the grace period ends.
 	*/
-	function applyRemoval(removal: Removal, source: StateSource, isKnown: boolean): News {
-		if (isKnown && source === 'store' && lapses.isOpen()) {
-			lapses.add(removal);
-			return nothing;
+	function applyRemoval(removal: Removal, source: StateSource, isKnown: boolean): AppliedChanges {
+		if (isKnown && source === 'store' && pendingRemovals.isOpen()) {
+			pendingRemovals.add(removal);
+			return noChanges;
 		}
 
-		lapses.remove(removal.id);
+		pendingRemovals.remove(removal.id);
 		return removers[removal.kind](removal, source);
 	}
 
 	/**
-	A process that was started anew has taken the place of the one before at its address, in whatever order they are heard of.
+	Removes the older of two nodes at one address: its process was replaced by the newer one. Their entries may arrive in any order.
 	*/
 	function removeReplaced(node: GatewayNode, at: number): void {
 		const before = addresses.get(node.address);
@@ -144,18 +144,18 @@
 	}
 
 	/**
-	An entry of an older incarnation changes nothing, whatever its revision: its writer has ended.
+	Logs an entry of an older incarnation. It is ignored at any revision, since its process has ended.
 	*/
 	function recordOutdated({endpoint, revision: at}: EndpointChange, source: StateSource): void {
 		const {id, born} = endpoint;
-		const believed = endpoints.get(id);
-		if (believed === undefined || getBirth(believed) <= getBirth(endpoint) || !outdatedMarks.add(id, at)) {
+		const current = endpoints.get(id);
+		if (current === undefined || getStartTime(current) <= getStartTime(endpoint) || !seenOutdated.add(id, at)) {
 			return;
 		}
 
 		metrics.increment('gateway.endpoints-outdated');
 		logger.info({
-			name: 'endpoint-outdated', endpoint: id, born, believed: believed.born, revision: at, source,
+			name: 'endpoint-outdated', endpoint: id, born, believed: current.born, revision: at, source,
 		});
 	}
 
@@ -172,32 +172,32 @@
 	}
 
 	function recordUnreadable({key, reason, revision: at}: UnreadableEntry): void {
-		if (!unreadMarks.add(key, at)) {
+		if (!seenUnreadable.add(key, at)) {
 			return;
 		}
 
 		metrics.increment('gateway.entries-unreadable');
 		logger.warn({
-			name: 'store-entry-unreadable', key, revision: at, reason: reason.slice(0, longestReason),
+			name: 'store-entry-unreadable', key, revision: at, reason: reason.slice(0, maximumReasonCharacters),
 		});
 	}
 
 	/**
-	An entry that is no longer its endpoint's own word names none to use: it gets no new work, and keeps what it has.
+	An endpoint with an unreadable entry is draining: it gets no new requests, and its open ones go on.
 	*/
-	function drainUnreadable({endpoint: id = '', revision: at}: UnreadableEntry, source: StateSource): News {
-		const believed = endpoints.get(id);
-		return believed === undefined ? nothing : handlers.endpoint({kind: 'endpoint', revision: at, endpoint: {...believed, state: 'draining'}}, source);
+	function drainUnreadable({endpoint: id = '', revision: at}: UnreadableEntry, source: StateSource): AppliedChanges {
+		const current = endpoints.get(id);
+		return current === undefined ? noChanges : handlers.endpoint({kind: 'endpoint', revision: at, endpoint: {...current, state: 'draining'}}, source);
 	}
 
 	const handlers: Handlers = {
 		configuration(change, source) {
 			if (change.configuration.version <= (configuration?.version ?? -1)) {
-				return nothing;
+				return noChanges;
 			}
 
 			configuration = change.configuration;
-			configuredAt = change.revision;
+			configurationRevision = change.revision;
 			metrics.increment('gateway.configurations');
 			logger.info({
 				name: 'configuration-in-force', revision: configuration.version, changeId: String(change.revision), source,
@@ -210,10 +210,10 @@
 			const before = endpoints.get(endpoint.id);
 			if (!endpoints.set(endpoint.id, endpoint, at)) {
 				recordOutdated(change, source);
-				return nothing;
+				return noChanges;
 			}
 
-			lapses.remove(endpoint.id);
+			pendingRemovals.remove(endpoint.id);
 			if (before !== undefined) {
 				emitIncarnation(before, change, source);
 			}
@@ -232,9 +232,9 @@
 		},
 		node(change) {
 			const {node, revision: at} = change;
-			lapses.remove(node.id);
+			pendingRemovals.remove(node.id);
 			if (!nodes.set(node.id, node, at)) {
-				return nothing;
+				return noChanges;
 			}
 
 			removeReplaced(node, at);
@@ -250,11 +250,11 @@
 				return drainUnreadable(change, source);
 			}
 
-			if (change.revision <= (unread?.revision ?? -1)) {
-				return nothing;
+			if (change.revision <= (unreadable?.revision ?? -1)) {
+				return noChanges;
 			}
 
-			unread = change;
+			unreadable = change;
 			recordUnreadable(change);
 			return [change];
 		},
@@ -263,31 +263,31 @@
 				void events.emit('entry', {key, isRemoved});
 			}
 
-			return nothing;
+			return noChanges;
 		},
 	};
 
-	function applyChange(change: ClusterChange, source: StateSource): News {
-		const handle = handlers[change.kind] as (change: ClusterChange, source: StateSource) => News;
+	function applyChange(change: ClusterChange, source: StateSource): AppliedChanges {
+		const handle = handlers[change.kind] as (change: ClusterChange, source: StateSource) => AppliedChanges;
 		return handle(change, source);
 	}
 
-	function applyEach(changes: ClusterChanges, source: StateSource): News {
-		const news = changes.changes.flatMap(change => applyChange(change, source));
+	function applyEach(changes: ClusterChanges, source: StateSource): AppliedChanges {
+		const applied = changes.changes.flatMap(change => applyChange(change, source));
 		setRevision(changes, source);
-		return news;
+		return applied;
 	}
 
 	/**
-	Takes over changes that leave no gap, and tells of all of them: what is not new here may be new to those that are told.
+	Applies changes that leave no gap. If they advance the revision, all of them are emitted: peers may lack ones that this node has.
 	*/
 	function applyChanges(changes: ClusterChanges, source: StateSource): void {
 		const after = revision;
-		const news = applyEach(changes, source);
+		const applied = applyEach(changes, source);
 		if (revision > after) {
 			void events.emit('advanced', {after, changes, source});
-		} else if (news.length > 0) {
-			void events.emit('advanced', {after, changes: {revision, changes: news}, source});
+		} else if (applied.length > 0) {
+			void events.emit('advanced', {after, changes: {revision, changes: applied}, source});
 		}
 	}
 
@@ -303,17 +303,17 @@
 	}
 
 	function applyAll(changes: ClusterChanges, source: StateSource): void {
-		const listedEndpoints = new Set(changes.changes.flatMap(change => listEndpoint(change)));
+		const listedEndpoints = new Set(changes.changes.flatMap(change => listEndpointIds(change)));
 		const listedNodes = new Set(changes.changes.flatMap(change => change.kind === 'node' ? [change.node.id] : []));
 		const removals: readonly Removal[] = [
 			...endpoints.listMissing(listedEndpoints, changes.revision).map(id => ({kind: 'endpoint-removed' as const, id, revision: changes.revision})),
 			...nodes.listMissing(listedNodes, changes.revision).map(id => ({kind: 'node-removed' as const, id, revision: changes.revision})),
 		];
 		const after = revision;
-		const news = applyEach({revision: changes.revision, changes: [...removals, ...changes.changes]}, source);
-		if (news.length > 0) {
-			// What was new to this node is not all that was new since then, so it takes nobody to the revision.
-			void events.emit('advanced', {after, changes: {revision: after, changes: news}, source});
+		const applied = applyEach({revision: changes.revision, changes: [...removals, ...changes.changes]}, source);
+		if (applied.length > 0) {
+			// These are only the changes that were new to this node, so they don't bring a peer to the revision of the list.
+			void events.emit('advanced', {after, changes: {revision: after, changes: applied}, source});
 		}
 	}
 
@@ -321,42 +321,42 @@
 		events,
 		revision: () => revision,
 		configuration: () => configuration,
-		hasUnreadableConfiguration: () => findUnread() !== undefined,
+		hasUnreadableConfiguration: () => findUnreadable() !== undefined,
 		endpoints: endpoints.values,
 		nodes: nodes.values,
 		applyChanges,
 		applyAll,
-		setRemovalGraceUntil: lapses.setUntil,
+		setRemovalGraceUntil: pendingRemovals.setUntil,
 		digest: () => endpoints.digest() + nodes.digest() + hashEntry('configuration', configuration?.version ?? -1),
-		hasPendingRemovals: () => lapses.count() > 0,
+		hasPendingRemovals: () => pendingRemovals.count() > 0,
 		exportState: (isSteady, since) => toState({
-			revision, configuration, configuredAt, endpoints, nodes, unread: findUnread(), isSteady,
+			revision, configuration, configurationRevision, endpoints, nodes, unreadable: findUnreadable(), isSteady,
 		}, since),
 		importState(state) {
-			// A peer that was in touch with the store all the while also knows which entries were removed and did not lapse. At the
-			// same revision only what it has seen removed counts: what it lacks it may have missed itself.
-			const isAhead = state.revision > revision || (state.revision === revision && lapses.count() > 0);
+			// Entries that a steady peer lacks were removed and didn't only lose their lease. At the same revision, and without pending
+			// removals here, only its tombstones count: it may have missed an entry itself.
+			const isAhead = state.revision > revision || (state.revision === revision && pendingRemovals.count() > 0);
 			const apply = isAhead && state.isSteady && state.since === undefined ? applyAll : applyChanges;
 			apply({revision: state.isSteady ? state.revision : revision, changes: listStateChanges(state)}, 'peer');
 		},
 		close() {
-			lapses.close();
+			pendingRemovals.close();
 			events.clearListeners();
 		},
 	};
 }
 
 /**
-An incarnation that does not say when it started is before all that do.
+Start time of an incarnation. One without a start time precedes all others.
 */
-function getBirth({born = -1}: Pick<ServingEndpoint, 'born'>): number {
+function getStartTime({born = -1}: Pick<ServingEndpoint, 'born'>): number {
 	return born;
 }
 
 /**
-An entry that cannot be read is there all the same: what was believed under its key did not lapse.
+Id of the endpoint that a change lists. An unreadable entry is still in the store, so its endpoint was not removed.
 */
-function listEndpoint(change: ClusterChange): readonly string[] {
+function listEndpointIds(change: ClusterChange): readonly string[] {
 	if (change.kind === 'unreadable') {
 		return change.endpoint === undefined ? [] : [change.endpoint];
 	}
--- a/gateway/cluster-view/src/create-pending-removals.ts
+++ b/gateway/cluster-view/src/create-pending-removals.ts
@@ -5,28 +5,28 @@
 type PendingRemovalsOptions = {
 	readonly logger: Logger;
 	/**
-	Takes the removals whose entries have not come back in time.
+	Called with the removals whose entries did not register again in time.
 	*/
 	readonly onExpired: (removals: readonly Removal[]) => void;
 };
 
 /**
- Creates the book of entries that may have lapsed.
+ Creates the table of removals that wait for the end of the grace period.
 
  @example
- const lapses = createLapseBook({logger, onExpired: removals => { applyRemovals(removals); }});
- lapses.setUntil(performance.now() + 2000);
- lapses.add({kind: 'endpoint-removed', id: 'i-7f', revision: 9});
+ const pendingRemovals = createPendingRemovals({logger, onExpired: removals => { applyRemovals(removals); }});
+ pendingRemovals.setUntil(performance.now() + 2000);
+ pendingRemovals.add({kind: 'endpoint-removed', id: 'i-7f', revision: 9});
  */
 export function createPendingRemovals({logger, onExpired}: PendingRemovalsOptions): PendingRemovals {
-	const lapsed = new Map<string, Removal>();
+	const pending = new Map<string, Removal>();
 	let until = 0;
 	let timer: NodeJS.Timeout | undefined;
 
 	function expire(): void {
 		timer = undefined;
-		const removals = lapsed.values().toArray();
-		lapsed.clear();
+		const removals = pending.values().toArray();
+		pending.clear();
 		onExpired(removals);
 	}
 
@@ -37,19 +37,19 @@
 		isOpen: () => performance.now() < until,
 		add(removal) {
 			const graceMs = until - performance.now();
-			if (!lapsed.has(removal.id)) {
+			if (!pending.has(removal.id)) {
 				logger.info({
 					name: 'entry-lapsed', id: removal.id, revision: removal.revision, graceMs: Math.round(graceMs),
 				});
 			}
 
-			lapsed.set(removal.id, removal);
+			pending.set(removal.id, removal);
 			timer ??= setTimeout(expire, graceMs);
 		},
 		remove(id) {
-			lapsed.delete(id);
+			pending.delete(id);
 		},
-		count: () => lapsed.size,
+		count: () => pending.size,
 		close() {
 			clearTimeout(timer);
 		},
--- a/gateway/cluster-view/src/create-seen-revisions.ts
+++ b/gateway/cluster-view/src/create-seen-revisions.ts
@@ -1,32 +1,32 @@
 import type {SeenRevisions} from './seen-revisions.ts';
 
 /**
-Keys that are kept, more than a store holds that foreign writers have not filled.
+More than the keys of a store, unless other programs write many to it.
 */
-const mostKeys = 10_000;
+const maximumKeys = 10_000;
 
 /**
- Creates marks of revisions, so that what is met again is told of once.
+ Creates a table of the revisions that were seen, so that each is logged once.
 
  @example
- const marks = createRevisionMarks();
- marks.mark('endpoints/i-7f', 7); // true
- marks.mark('endpoints/i-7f', 7); // false
+ const seenRevisions = createSeenRevisions();
+ seenRevisions.add('endpoints/i-7f', 7); // true
+ seenRevisions.add('endpoints/i-7f', 7); // false
  */
 export function createSeenRevisions(): SeenRevisions {
-	const marks = new Map<string, number>();
+	const revisions = new Map<string, number>();
 
 	return {
 		add(key, revision) {
-			if (revision <= (marks.get(key) ?? -1)) {
+			if (revision <= (revisions.get(key) ?? -1)) {
 				return false;
 			}
 
-			marks.delete(key);
-			marks.set(key, revision);
-			if (marks.size > mostKeys) {
-				const [oldest = ''] = marks.keys();
-				marks.delete(oldest);
+			revisions.delete(key);
+			revisions.set(key, revision);
+			if (revisions.size > maximumKeys) {
+				const [oldest = ''] = revisions.keys();
+				revisions.delete(oldest);
 			}
 
 			return true;
--- a/gateway/cluster-view/src/create-store-follower.ts
+++ b/gateway/cluster-view/src/create-store-follower.ts
@@ -8,46 +8,45 @@
 type Outcome = 'done' | 'failed';
 
 /**
-Most that the term of a lease grows with the fleet: so long may a node that was lost stay listed.
+Bounds how long a failed node stays registered in a large fleet.
 */
-const longestTermFactor = 2;
+const maximumLeaseFactor = 2;
 /**
-Most that the pause between two watches grows with the fleet: a change has to be in force everywhere in seconds.
+Bounds the delay of changes in a large fleet to a few seconds.
 */
-const longestGatherFactor = 6;
+const maximumGatherFactor = 6;
 /**
-Pause between two watches of a node that watches only until a peer speaks for the store, in milliseconds.
+Minimum interval between two watches of a node that watches only until a peer confirms the state of the store, in milliseconds.
 */
-const unplannedGatherMs = 1000;
+const temporaryGatherMs = 1000;
 /**
-Parts of the term of a lease within which it is renewed by nodes that others watch for.
+Renewals within the duration of a lease, for nodes for which others watch.
 */
-const renewalsPerTerm = 4;
+const renewalsPerLease = 4;
 /**
-Share of a pause that is drawn by lot, so that nodes do not call in step.
+Random share of a delay, so that nodes don't call the store at the same time.
 */
 const jitterShare = 0.5;
 /**
-How often a node for which others watch asks whether it has to watch itself, in milliseconds.
+Interval at which a node for which others watch checks whether it has to watch itself, in milliseconds.
 */
-const askMs = 250;
+const checkIntervalMs = 250;
 /**
-Longest pause before a call that failed is tried again by a node that watches for others, in milliseconds, and how often the pause doubles
-at most.
+Maximum retry delay of a node that watches for others, in milliseconds, and how often the delay doubles at most.
 */
-const longestRetryMs = 1000;
-const mostDoublings = 8;
+const maximumRetryDelayMs = 1000;
+const maximumDoublings = 8;
 /**
-Longest time after its list in which a node may still miss the others of a fleet that starts at once, in milliseconds.
+Time after the first list in which a node of a fleet that starts at once may still lack other nodes, in milliseconds.
 */
-const longestSettleMs = 1000;
+const maximumSettleMs = 1000;
 
 /**
- Creates the follower of the store: a list at first and after every gap, then one watch after the other. Renewals of the
- node's lease show whether the store still answers while a watch waits.
+ Creates the follower of the store. It lists all entries first and after every gap, then runs one watch after the other. Renewals of
+ the node's lease show whether the store still answers while a watch waits.
 
  @example
- const follower = createStoreFollower({store, view, self, watchMs: 25_000, gatherMs: 50, settleMs: 300, retryMs: 400, leaseMs: 30_000, renewMs: 2000, lapseGraceMs: 2000, isNeeded: () => true, isFollower: () => true, logger, metrics});
+ const follower = createStoreFollower({store, view, self, watchMs: 25_000, gatherMs: 50, settleMs: 300, retryMs: 400, leaseMs: 30_000, renewMs: 2000, removalGraceMs: 2000, isNeeded: () => true, isFollower: () => true, logger, metrics});
  follower.start();
  */
 export function createStoreFollower(options: StoreFollowerOptions): StoreFollower {
@@ -55,24 +54,24 @@
 	const closing = new AbortController();
 	let isReachable = false;
 	/**
-	Whether the view holds all that the store held at its revision.
+	Whether the view has all entries of the store at its revision.
 	*/
 	let isFollowing = false;
 	let wasLost = false;
 	let reachableSince = 0;
 	/**
-	Calls that failed since the store was reached last.
+	Calls that failed since the store was last reachable.
 	*/
 	let failures = 0;
 	const firstReached = Promise.withResolvers<void>();
 	/**
-	When the first list came; nodes of a fleet that starts at once are not all in it.
+	Time of the first list. Nodes of a fleet that starts at once may not all be in it.
 	*/
 	let listedAt = Infinity;
 	let hasWatched = false;
 	let lease: string | undefined;
 	/**
-	Settled when the store is lost, so that nobody waits for a watch that will not answer.
+	Settled when the store is lost, so that the pending watch isn't waited for.
 	*/
 	let lost = Promise.withResolvers<'lost'>();
 
@@ -94,7 +93,7 @@
 	}
 
 	/**
-	A call that failed after the store was reached again, and began before, says nothing of the store now.
+	A failed call that began before the store was reachable again is counted, but doesn't mark the store as lost again.
 	*/
 	function markLost(reason: string, startedAt: number): void {
 		metrics.increment('gateway.store-failures');
@@ -112,16 +111,16 @@
 		lost.resolve('lost');
 	}
 
-	async function waitAbout(milliseconds: number): Promise<void> {
+	async function waitWithJitter(milliseconds: number): Promise<void> {
 		await wait(milliseconds * (1 - (jitterShare * Math.random())), undefined, {ref: false});
 	}
 
 	/**
-	Refused calls are paid for too. Those that watch for others look for the store's return once a second after some tries; the
-	rest of a fleet need not be the first to know of it.
+	Backs off exponentially, up to a second for nodes that watch for others. The other nodes of a large fleet wait longer, since refused
+	calls have a cost too.
 	*/
-	function measureRetry(): number {
-		const backoffMs = Math.min(longestRetryMs, options.retryMs * (2 ** Math.min(failures, mostDoublings)));
+	function measureRetryDelay(): number {
+		const backoffMs = Math.min(maximumRetryDelayMs, options.retryMs * (2 ** Math.min(failures, maximumDoublings)));
 		return options.isFollower() ? backoffMs : Math.max(backoffMs, options.retryMs * measureFleetFactor(view.nodes().length));
 	}
 
@@ -141,17 +140,17 @@
 	}
 
 	async function watchOnce(): Promise<Outcome> {
-		const ending = new AbortController();
-		const watched = await Promise.race([store.watch(view.revision(), options.watchMs, ending.signal), lost.promise]);
+		const watchAbort = new AbortController();
+		const watched = await Promise.race([store.watch(view.revision(), options.watchMs, watchAbort.signal), lost.promise]);
 		hasWatched = true;
 		if (watched === 'lost') {
-			// A watch that went on would keep one of the client's few connections from the calls that find the store again.
-			ending.abort();
+			// A watch that goes on would occupy one of the client's few connections, which the retries need.
+			watchAbort.abort();
 			return 'failed';
 		}
 
 		return watched.match((changes: ClusterChanges) => {
-			// A watch that brings nothing confirms nothing after the revision that it began at.
+			// A watch without changes confirms only the revision that it began at.
 			view.applyChanges(changes.changes.length === 0 ? {...changes, revision: view.revision()} : changes, 'store');
 			return 'done';
 		}, error => {
@@ -162,29 +161,29 @@
 	}
 
 	/**
-	A node that others are to watch for leaves them time to say so: at the start of a large fleet each change of its nodes
-	would bring a call of every one of them.
+	A node that watches temporarily waits longer, so that peers have time to confirm the state of the store. Otherwise each change at
+	the start of a large fleet would cause a call from every node.
 	*/
-	function measureGather(): number {
-		const gatherMs = options.gatherMs * Math.min(longestGatherFactor, measureFleetFactor(view.nodes().length));
-		return options.isFollower() ? gatherMs : Math.max(gatherMs, unplannedGatherMs);
+	function measureGatherInterval(): number {
+		const gatherMs = options.gatherMs * Math.min(maximumGatherFactor, measureFleetFactor(view.nodes().length));
+		return options.isFollower() ? gatherMs : Math.max(gatherMs, temporaryGatherMs);
 	}
 
 	/**
-	A list, then watches until one fails or others watch for this node.
+	Lists the store, then watches it until a watch fails or others watch for this node.
 	*/
 	async function watchStore(): Promise<void> {
 		if (await listOnce() === 'failed') {
-			await waitAbout(measureRetry());
+			await waitWithJitter(measureRetryDelay());
 			return;
 		}
 
-		// At a start of the whole fleet most entries come within this time.
-		await waitAbout(options.settleMs);
+		// When a whole fleet starts, most entries arrive within this time.
+		await waitWithJitter(options.settleMs);
 		// eslint-disable-next-line no-await-in-loop -- one watch after the other
 		while (!closing.signal.aborted && options.isNeeded() && await watchOnce() === 'done') {
-			// eslint-disable-next-line no-await-in-loop -- changes of this time come together
-			await waitAbout(measureGather());
+			// eslint-disable-next-line no-await-in-loop -- batches the changes of this time
+			await waitWithJitter(measureGatherInterval());
 		}
 	}
 
@@ -196,27 +195,27 @@
 			}
 
 			isFollowing = false;
-			// eslint-disable-next-line no-await-in-loop -- one turn after the other
-			await (isNeeded ? watchStore() : wait(measureTick(askMs), undefined, {ref: false}));
+			// eslint-disable-next-line no-await-in-loop -- one check after the other
+			await (isNeeded ? watchStore() : wait(measureTick(checkIntervalMs), undefined, {ref: false}));
 		}
 	}
 
 	/**
-	Factor on the term of the lease, so that the renewals of a large fleet stay few.
+	Factor on the duration of the lease, so that a large fleet makes fewer renewals.
 	*/
-	function measureTermFactor(): number {
-		return Math.min(longestTermFactor, measureFleetFactor(view.nodes().length));
+	function measureLeaseFactor(): number {
+		return Math.min(maximumLeaseFactor, measureFleetFactor(view.nodes().length));
 	}
 
-	function measureRenewal(): number {
-		return options.isNeeded() ? options.renewMs : Math.max(options.renewMs, options.leaseMs * measureTermFactor() / renewalsPerTerm);
+	function measureRenewalInterval(): number {
+		return options.isNeeded() ? options.renewMs : Math.max(options.renewMs, options.leaseMs * measureLeaseFactor() / renewalsPerLease);
 	}
 
 	async function register(): Promise<void> {
 		const startedAt = performance.now();
-		const registered = await store.register(options.self, options.leaseMs * measureTermFactor());
-		registered.match(opened => {
-			lease = opened;
+		const registered = await store.register(options.self, options.leaseMs * measureLeaseFactor());
+		registered.match(registeredLease => {
+			lease = registeredLease;
 			if (!isFollowing) {
 				markReachable();
 			}
@@ -254,14 +253,14 @@
 	async function runRenewals(): Promise<void> {
 		await firstReached.promise;
 		while (!closing.signal.aborted) {
-			// A node for which others watch makes no other calls, so it goes on with these while the store is lost.
+			// A node for which others watch makes no other calls, so it retries with these while the store is lost.
 			if (isReachable || wasLost) {
 				// eslint-disable-next-line no-await-in-loop -- one renewal after the other
 				await updateLease();
 			}
 
-			// eslint-disable-next-line no-await-in-loop -- the pause between renewals
-			await waitAbout(isReachable && lease !== undefined ? measureRenewal() : measureRetry());
+			// eslint-disable-next-line no-await-in-loop -- the interval between renewals
+			await waitWithJitter(isReachable && lease !== undefined ? measureRenewalInterval() : measureRetryDelay());
 		}
 	}
 
@@ -271,7 +270,7 @@
 			void runRenewals();
 		},
 		isReachable: () => isReachable,
-		hasSettled: () => hasWatched || performance.now() - listedAt > longestSettleMs,
+		hasSettled: () => hasWatched || performance.now() - listedAt > maximumSettleMs,
 		isSteady: () => isReachable && isFollowing && (!wasLost || performance.now() - reachableSince > options.removalGraceMs),
 		async close() {
 			closing.abort();
--- a/gateway/cluster-view/src/create-versioned-map.ts
+++ b/gateway/cluster-view/src/create-versioned-map.ts
@@ -2,19 +2,19 @@
 import type {VersionedMap} from './versioned-map.ts';
 
 /**
-Marks of removed entries that are kept; far more than one watch can be behind.
+Far more than the removals that a single watch can be behind.
 */
-const mostMarks = 10_000;
+const maximumTombstones = 10_000;
 
 /**
-Marks that a peer is told; as many as a busy fleet makes in some hours.
+Tombstones that are sent to a peer: the removals of some hours in a busy fleet.
 */
-const mostMarksTold = 200;
+const maximumExportedTombstones = 200;
 
 /**
  Creates a map of entries with revisions.
 
- @param getOrder - Order of values that goes before the revision: an entry that is behind in it is older at any revision.
+ @param getOrder - Order of values that takes precedence over the revision: a value that comes earlier in it is older at any revision.
  @example
  const map = createVersionedMap<string>();
  map.set('a', 'new', 7);
@@ -22,33 +22,33 @@
  */
 export function createVersionedMap<Value>(getOrder: (value: Value) => number = () => 0): VersionedMap<Value> {
 	const entries = new Map<string, {readonly value: Value; readonly revision: number}>();
-	const marks = new Map<string, number>();
+	const tombstones = new Map<string, number>();
 	let digest = 0;
 
-	function measureEntry(id: string): number {
+	function hashCurrentEntry(id: string): number {
 		const entry = entries.get(id);
 		return entry === undefined ? 0 : hashEntry(id, entry.revision);
 	}
 
-	function isNewer(id: string, revision: number): boolean {
-		return revision > (entries.get(id)?.revision ?? marks.get(id) ?? -1);
+	function isNewerRevision(id: string, revision: number): boolean {
+		return revision > (entries.get(id)?.revision ?? tombstones.get(id) ?? -1);
 	}
 
-	function isLater(id: string, value: Value, revision: number): boolean {
+	function isNewerEntry(id: string, value: Value, revision: number): boolean {
 		const entry = entries.get(id);
-		const step = entry === undefined ? 0 : getOrder(value) - getOrder(entry.value);
-		return step === 0 ? isNewer(id, revision) : step > 0;
+		const difference = entry === undefined ? 0 : getOrder(value) - getOrder(entry.value);
+		return difference === 0 ? isNewerRevision(id, revision) : difference > 0;
 	}
 
-	function addMark(id: string, revision: number): void {
-		marks.delete(id);
-		marks.set(id, revision);
-		if (marks.size <= mostMarks) {
+	function addTombstone(id: string, revision: number): void {
+		tombstones.delete(id);
+		tombstones.set(id, revision);
+		if (tombstones.size <= maximumTombstones) {
 			return;
 		}
 
-		const [oldest = ''] = marks.keys();
-		marks.delete(oldest);
+		const [oldest = ''] = tombstones.keys();
+		tombstones.delete(oldest);
 	}
 
 	return {
@@ -56,27 +56,27 @@
 		values: () => entries.values().map(({value}) => value).toArray(),
 		entries: () => entries.values().toArray(),
 		set(id, value, revision) {
-			if (!isLater(id, value, revision)) {
+			if (!isNewerEntry(id, value, revision)) {
 				return false;
 			}
 
-			marks.delete(id);
-			digest -= measureEntry(id);
+			tombstones.delete(id);
+			digest -= hashCurrentEntry(id);
 			entries.set(id, {value, revision});
-			digest += measureEntry(id);
+			digest += hashCurrentEntry(id);
 			return true;
 		},
 		remove(id, revision) {
-			if (!isNewer(id, revision)) {
+			if (!isNewerRevision(id, revision)) {
 				return false;
 			}
 
-			addMark(id, revision);
-			digest -= measureEntry(id);
+			addTombstone(id, revision);
+			digest -= hashCurrentEntry(id);
 			return entries.delete(id);
 		},
-		tombstones: () => [...marks].slice(-mostMarksTold).map(([id, revision]) => ({id, revision})),
-		hasTombstonesSince: revision => marks.values().toArray().slice(0, -mostMarksTold).every(at => at <= revision),
+		tombstones: () => [...tombstones].slice(-maximumExportedTombstones).map(([id, revision]) => ({id, revision})),
+		hasTombstonesSince: revision => tombstones.values().toArray().slice(0, -maximumExportedTombstones).every(at => at <= revision),
 		digest: () => digest,
 		listMissing: (listed, revision) => [...entries].filter(([id, entry]) => !listed.has(id) && entry.revision <= revision).map(([id]) => id),
 	};
--- a/gateway/cluster-view/src/hash-entry.ts
+++ b/gateway/cluster-view/src/hash-entry.ts
@@ -4,7 +4,7 @@
 const hexadecimal = 16;
 
 /**
- Hashes what is known of an entry to a number of 32 bits, for digests that are sums: those of many thousand entries are exact.
+ Hashes the id and revision of an entry to 32 bits. Digests are sums of these, and stay exact for many thousand entries.
 
  @example
  hashEntry('i-7f', 9) === hashEntry('i-7f', 9); // true
--- a/gateway/cluster-view/src/list-state-changes.ts
+++ b/gateway/cluster-view/src/list-state-changes.ts
@@ -2,7 +2,7 @@
 import type {ClusterState} from './cluster-state.ts';
 
 /**
- What a peer's state says, as changes.
+ Lists the contents of a peer's cluster state as changes.
 
  @example
  listStateChanges(state).length;
--- a/gateway/cluster-view/src/measure-fleet-factor.ts
+++ b/gateway/cluster-view/src/measure-fleet-factor.ts
@@ -1,19 +1,19 @@
 /**
-Fleet for which the intervals of the settings are meant.
+Fleet size for which the intervals in the settings are meant.
 */
-const usualNodes = 9;
+const referenceNodes = 9;
 /**
-Largest factor, so that news is never older than the bounds for a change to be in force allow.
+Bounds the delay until a change is in force on all nodes of a large fleet.
 */
-const largestFactor = 12;
+const maximumFactor = 12;
 
 /**
- Factor on the intervals of what every node tells every other or asks the store for: it grows with the fleet, so that a
- node's messages and calls a second stay the same.
+ Factor on the intervals of messages between nodes and of calls to the store. It grows with the fleet, so that each node's messages
+ and calls per second stay about the same.
 
  @example
- measureFleet(90); // 10
+ measureFleetFactor(90); // 10
  */
 export function measureFleetFactor(nodes: number): number {
-	return Math.min(largestFactor, Math.max(1, nodes / usualNodes));
+	return Math.min(maximumFactor, Math.max(1, nodes / referenceNodes));
 }
--- a/gateway/cluster-view/src/pending-removals.ts
+++ b/gateway/cluster-view/src/pending-removals.ts
@@ -1,20 +1,21 @@
 import type {Removal} from './removal.ts';
 
 /**
-Keeps removals that may only mean that an entry lapsed while the store was away, until the entry has had time to come back.
+Removals after a store outage. The lease of an entry may only have expired during the outage, so its removal is held for a grace
+period in which it can register again.
 */
 export type PendingRemovals = {
 	/**
-	Until that time, on the steady clock in milliseconds, removals are kept.
+	Sets the end of the grace period, in milliseconds on the monotonic clock.
 	*/
 	readonly setUntil: (time: number) => void;
 	/**
-	Whether removals are kept now.
+	Whether the grace period is running.
 	*/
 	readonly isOpen: () => boolean;
 	readonly add: (removal: Removal) => void;
 	/**
-	Forgets a removal: its entry is back, or really gone.
+	Drops a removal: its entry registered again, or its removal is confirmed.
 	*/
 	readonly remove: (id: string) => void;
 	readonly count: () => number;
--- a/gateway/cluster-view/src/removal.ts
+++ b/gateway/cluster-view/src/removal.ts
@@ -1,6 +1,6 @@
 import type {ClusterChange} from '@valvesaddle/gateway-types';
 
 /**
-A change by which an endpoint or a node is gone.
+A change that removes an endpoint or a node.
 */
 export type Removal = Extract<ClusterChange, {readonly kind: 'endpoint-removed' | 'node-removed'}>;
--- a/gateway/cluster-view/src/seen-revisions.ts
+++ b/gateway/cluster-view/src/seen-revisions.ts
@@ -1,9 +1,9 @@
 /**
-Highest revisions that were met under each key, of the keys met last.
+Highest revision seen under each key, for the keys seen most recently.
 */
 export type SeenRevisions = {
 	/**
-	Notes a revision; tells whether it is higher than all before it under the key.
+	Adds a revision; returns whether it is higher than all earlier ones of the key.
 	*/
 	readonly add: (key: string, revision: number) => boolean;
 };
--- a/gateway/cluster-view/src/state-source.ts
+++ b/gateway/cluster-view/src/state-source.ts
@@ -1,4 +1,4 @@
 /**
-Where a belief comes from.
+Where a change of the cluster state comes from.
 */
 export type StateSource = 'store' | 'peer';
--- a/gateway/cluster-view/src/store-follower-options.ts
+++ b/gateway/cluster-view/src/store-follower-options.ts
@@ -11,39 +11,39 @@
 	readonly view: ClusterView;
 	readonly self: GatewayNode;
 	/**
-	How long one watch waits.
+	How long one watch waits for changes.
 	*/
 	readonly watchMs: number;
 	/**
-	Pause between two watches; changes that come meanwhile arrive together.
+	Interval between two watches; changes in between arrive in one batch.
 	*/
 	readonly gatherMs: number;
 	/**
-	Pause between the list and the first watch, in which the entries of a fleet that starts at once come together.
+	Delay between a list and the first watch, to batch the entries of a fleet that starts at once.
 	*/
 	readonly settleMs: number;
 	/**
-	Pause before a call that failed is tried again.
+	Delay before the retry of a failed call; grows with consecutive failures.
 	*/
 	readonly retryMs: number;
 	/**
-	Term of the lease on the node's own entry.
+	Duration of the lease on the node's own entry.
 	*/
 	readonly leaseMs: number;
 	/**
-	Between two renewals of that lease; a silent store is noticed within one and a half of them.
+	Interval between two renewals of that lease, which also detect that the store no longer answers.
 	*/
 	readonly renewMs: number;
 	/**
-	How long after the return of the store a missing endpoint may still come back.
+	Grace period after a store outage in which missing entries can register again.
 	*/
 	readonly removalGraceMs: number;
 	/**
-	Whether this node has to watch the store itself; in a large fleet a few nodes do so for all.
+	Whether this node has to watch the store itself; in a large fleet, a few nodes watch for all.
 	*/
 	readonly isNeeded: () => boolean;
 	/**
-	Whether it watches by plan, and not only as long as nobody else tells it that nothing was missed.
+	Whether this node watches for others by the overlay, and not only until a peer confirms the state of the store.
 	*/
 	readonly isFollower: () => boolean;
 	readonly logger: Logger;
--- a/gateway/cluster-view/src/store-follower.ts
+++ b/gateway/cluster-view/src/store-follower.ts
@@ -1,14 +1,14 @@
 /**
-Keeps a cluster view up to date from the store, and the node's own entry there.
+Keeps a cluster view up to date with the store, and the node registered there.
 */
 export type StoreFollower = {
 	readonly start: () => void;
 	/**
-	Whether the store answered last.
+	Whether the store answered the latest call.
 	*/
 	readonly isReachable: () => boolean;
 	/**
-	Whether the store has answered for long enough that nothing can have lapsed.
+	Whether the view follows the store without a gap, and the grace period after an outage is over.
 	*/
 	readonly isSteady: () => boolean;
 	/**
@@ -16,7 +16,7 @@
 	*/
 	readonly hasSettled: () => boolean;
 	/**
-	Ends the node's entry and stops.
+	Stops, and removes the node's entry from the store.
 	*/
 	readonly close: () => Promise<void>;
 };
--- a/gateway/cluster-view/src/to-state.ts
+++ b/gateway/cluster-view/src/to-state.ts
@@ -3,42 +3,42 @@
 import type {UnreadableEntry} from './unreadable-entry.ts';
 import type {VersionedMap} from './versioned-map.ts';
 
-type Beliefs = {
+type ViewContents = {
 	readonly revision: number;
 	readonly configuration: GatewayConfiguration | undefined;
 	/**
 	Revision of the configuration in force.
 	*/
-	readonly configuredAt: number;
+	readonly configurationRevision: number;
 	readonly endpoints: VersionedMap<ServingEndpoint>;
 	readonly nodes: VersionedMap<GatewayNode>;
-	readonly unread: UnreadableEntry | undefined;
+	readonly unreadable: UnreadableEntry | undefined;
 	readonly isSteady: boolean;
 };
 
 /**
- Collects what a peer is told: what is newer than a revision, where the marks of removals reach back so far, else all.
+ Exports the cluster state for a peer: the entries newer than a revision if the tombstones reach back to it, else all.
 
- @param beliefs - All that a node believes.
- @param after - Revision up to which the peer knows all; `undefined` for a peer that asks for all.
+ @param contents - Contents of the cluster view.
+ @param after - Revision up to which the peer is up to date; `undefined` for a peer that requests all entries.
  @example
- toState(beliefs, 40).since; // 40
+ toState(contents, 40).since; // 40
  */
-export function toState(beliefs: Beliefs, after: number | undefined): ClusterState {
-	const {revision, configuration, configuredAt, endpoints, nodes, unread, isSteady} = beliefs;
+export function toState(contents: ViewContents, after: number | undefined): ClusterState {
+	const {revision, configuration, configurationRevision, endpoints, nodes, unreadable, isSteady} = contents;
 	const since = after !== undefined && endpoints.hasTombstonesSince(after) && nodes.hasTombstonesSince(after) ? after : undefined;
-	const isTold = ({revision: at}: {readonly revision: number}): boolean => since === undefined || at > since;
+	const isIncluded = ({revision: at}: {readonly revision: number}): boolean => since === undefined || at > since;
 	return {
 		revision,
 		since,
-		configuration: isTold({revision: configuredAt}) ? configuration : undefined,
-		endpoints: endpoints.entries().filter(entry => isTold(entry)).map(({value, revision: at}) => ({endpoint: value, revision: at})),
-		nodes: nodes.entries().filter(entry => isTold(entry)).map(({value, revision: at}) => ({node: value, revision: at})),
+		configuration: isIncluded({revision: configurationRevision}) ? configuration : undefined,
+		endpoints: endpoints.entries().filter(entry => isIncluded(entry)).map(({value, revision: at}) => ({endpoint: value, revision: at})),
+		nodes: nodes.entries().filter(entry => isIncluded(entry)).map(({value, revision: at}) => ({node: value, revision: at})),
 		removed: [
-			...endpoints.tombstones().filter(mark => isTold(mark)).map(mark => ({kind: 'endpoint-removed' as const, ...mark})),
-			...nodes.tombstones().filter(mark => isTold(mark)).map(mark => ({kind: 'node-removed' as const, ...mark})),
+			...endpoints.tombstones().filter(tombstone => isIncluded(tombstone)).map(tombstone => ({kind: 'endpoint-removed' as const, ...tombstone})),
+			...nodes.tombstones().filter(tombstone => isIncluded(tombstone)).map(tombstone => ({kind: 'node-removed' as const, ...tombstone})),
 		],
-		unread,
+		unread: unreadable,
 		isSteady,
 	};
 }
--- a/gateway/cluster-view/src/unreadable-entry.ts
+++ b/gateway/cluster-view/src/unreadable-entry.ts
@@ -1,6 +1,6 @@
 import type {ClusterChange} from '@valvesaddle/gateway-types';
 
 /**
-An entry of the store that cannot be read.
+An entry of the store that cannot be decoded.
 */
 export type UnreadableEntry = Extract<ClusterChange, {readonly kind: 'unreadable'}>;
--- a/gateway/cluster-view/test/cluster-view.test.ts
+++ b/gateway/cluster-view/test/cluster-view.test.ts
@@ -32,7 +32,7 @@
 	};
 }
 
-test('an older configuration never comes back, whoever brings it', t => {
+test('an older configuration is never restored, from any source', t => {
 	const view = createView(t);
 	view.applyChanges({revision: 5, changes: [{kind: 'configuration', revision: 5, configuration: toConfiguration(7)}]}, 'store');
 	for (const source of ['store', 'peer'] as const) {
@@ -41,11 +41,11 @@
 	}
 
 	view.applyAll({revision: 10, changes: []}, 'store');
-	t.equal(view.configuration()?.version, 7, 'a list without one takes none away');
+	t.equal(view.configuration()?.version, 7, 'a list without a configuration does not remove it');
 	t.end();
 });
 
-test('an endpoint that was removed does not come back by older news', t => {
+test('a removed endpoint is not restored by an older entry', t => {
 	const view = createView(t);
 	view.applyAll({revision: 5, changes: [toChange('i-1', 3), toChange('i-2', 4)]}, 'store');
 	view.applyChanges({revision: 6, changes: [{kind: 'endpoint-removed', revision: 6, id: 'i-1'}]}, 'store');
@@ -58,7 +58,7 @@
 	t.end();
 });
 
-test('what a list lacks was removed, unless it is newer than the list', t => {
+test('entries that a list lacks are removed, unless they are newer than the list', t => {
 	const view = createView(t);
 	view.applyChanges({revision: 8, changes: [toChange('i-1', 3), toChange('i-2', 8)]}, 'store');
 	view.applyAll({revision: 6, changes: []}, 'store');
@@ -66,7 +66,7 @@
 	t.end();
 });
 
-test('entries that lapsed in an outage have their time to come back, and are gone after it', t => {
+test('entries whose lease expired in an outage can register again in the grace period, and are removed after it', t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const view = createView(t);
@@ -83,7 +83,7 @@
 	t.end();
 });
 
-test('a peer that was in touch with the store all the while is believed at once about removals, another is not', t => {
+test('removals of a steady peer are applied at once, those of another peer are not', t => {
 	const view = createView(t);
 	view.applyAll({revision: 5, changes: [toChange('i-1', 3)]}, 'store');
 	view.setRemovalGraceUntil(performance.now() + 60_000);
@@ -93,14 +93,14 @@
 	view.importState({...state, isSteady: false});
 	t.equal(view.endpoints().length, 1);
 	t.equal(view.configuration()?.version, 4);
-	t.equal(view.revision(), 5, 'the store is still asked from the own revision');
+	t.equal(view.revision(), 5, 'the store is still watched from the own revision');
 	view.importState({...state, isSteady: true});
 	t.equal(view.endpoints().length, 0);
 	t.equal(view.revision(), 9);
 	t.end();
 });
 
-test('what a node alone took for lapsed is gone as soon as a steady peer at the same revision says so', t => {
+test('a pending removal is applied as soon as a steady peer at the same revision lacks the entry', t => {
 	const view = createView(t);
 	view.applyAll({revision: 5, changes: [toChange('i-1', 3)]}, 'store');
 	view.setRemovalGraceUntil(performance.now() + 60_000);
@@ -118,7 +118,7 @@
 	t.end();
 });
 
-test('an entry that cannot be read hides no other', t => {
+test('an unreadable entry does not hide others', t => {
 	const view = createView(t);
 	view.applyAll({
 		revision: 5, changes: [{
@@ -135,7 +135,7 @@
 	};
 }
 
-test('a node that was started anew replaces the one before at its address, and older news does not bring it back', t => {
+test('a restarted node replaces the former one at its address, and an older entry does not restore it', t => {
 	const view = createView(t);
 	view.applyChanges({revision: 5, changes: [{kind: 'node', revision: 5, node: toNode('n1.old', '10.0.0.1:7')}, {kind: 'node', revision: 5, node: toNode('n2', '10.0.0.2:7')}]}, 'store');
 	view.applyChanges({revision: 8, changes: [{kind: 'node', revision: 8, node: toNode('n1.new', '10.0.0.1:7')}]}, 'store');
@@ -147,7 +147,7 @@
 	t.end();
 });
 
-test('nodes whose entries lapsed in an outage stay known until they have had time to register again', t => {
+test('nodes whose lease expired in an outage stay in the view until the grace period is over', t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const view = createView(t);
@@ -160,7 +160,7 @@
 	t.end();
 });
 
-test('the digest is the same for the same beliefs, whatever the way to them, and another for others at the same revision', t => {
+test('the digest depends only on the entries, not on the order of changes, and differs for other entries at the same revision', t => {
 	const view = createView(t);
 	const other = createView(t);
 	view.applyChanges({revision: 5, changes: [toChange('i-1', 3), toChange('i-2', 4)]}, 'store');
@@ -176,13 +176,13 @@
 	t.end();
 });
 
-test('what is new is told of whatever way it came, and when the time of grace of lapsed entries is over', async t => {
+test('new changes are emitted from any source, and pending removals when the grace period is over', async t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const view = createView(t);
-	const told: unknown[] = [];
+	const emitted: unknown[] = [];
 	view.events.on('advanced', ({data: {after, changes}}) => {
-		told.push([after, changes.revision, changes.changes.map(({kind}) => kind)]);
+		emitted.push([after, changes.revision, changes.changes.map(({kind}) => kind)]);
 	});
 	view.applyAll({revision: 5, changes: [toChange('i-1', 3), toChange('i-2', 4)]}, 'store');
 	view.applyAll({revision: 7, changes: [toChange('i-1', 3), {kind: 'configuration', revision: 7, configuration: toConfiguration(2)}]}, 'store');
@@ -197,7 +197,7 @@
 	view.applyChanges({revision: 10, changes: [toChange('i-3', 10)]}, 'store');
 	await Promise.resolve();
 	await view.events.emit('nodeRemoved', {id: 'none'});
-	t.same(told, [
+	t.same(emitted, [
 		[-1, -1, ['endpoint', 'endpoint']],
 		[5, 5, ['endpoint-removed', 'configuration']],
 		[7, 7, ['configuration']],
@@ -207,7 +207,7 @@
 	]);
 });
 
-test('of two nodes at one address the later one stays, in whatever order they are heard of', t => {
+test('of two nodes at one address the later one stays, in either order of arrival', t => {
 	for (const order of [['n1.old', 'n1.new'], ['n1.new', 'n1.old']]) {
 		const view = createView(t);
 		view.applyAll({revision: 9, changes: order.map(id => ({kind: 'node' as const, revision: id === 'n1.new' ? 8 : 5, node: toNode(id, '10.0.0.1:7')}))}, 'store');
@@ -217,7 +217,7 @@
 	t.end();
 });
 
-test('what a peer at the same revision lacks is not gone, what it has seen removed is', t => {
+test('at the same revision, entries that a peer lacks stay and those it has tombstones of are removed', t => {
 	const view = createView(t);
 	view.applyChanges({revision: 9, changes: [toChange('i-1', 3), toChange('i-2', 4), toChange('i-3', 8)]}, 'peer');
 	view.importState({
--- a/gateway/cluster-view/test/incarnations.test.ts
+++ b/gateway/cluster-view/test/incarnations.test.ts
@@ -13,18 +13,18 @@
 	const metrics = createMetrics();
 	const view = createClusterView({logger: createLogger({node: 'n', level: 'silent'}), metrics});
 	t.teardown(view.close);
-	const told: string[] = [];
+	const emitted: string[] = [];
 	view.events.on('incarnation', ({data}) => {
-		told.push(`${data.before.born ?? 'none'} to ${data.endpoint.born ?? 'none'}`);
+		emitted.push(`${data.before.born ?? 'none'} to ${data.endpoint.born ?? 'none'}`);
 	});
 	view.events.on('endpoint', ({data}) => {
-		told.push(`${data.endpoint.born ?? 'none'} ${data.endpoint.state}`);
+		emitted.push(`${data.endpoint.born ?? 'none'} ${data.endpoint.state}`);
 	});
 	view.events.on('endpointRemoved', () => {
-		told.push('removed');
+		emitted.push('removed');
 	});
 	return {
-		view, metrics, told,
+		view, metrics, emitted,
 		async settle() {
 			await view.events.emit('nodeRemoved', {id: 'none'});
 		},
@@ -41,25 +41,25 @@
 	};
 }
 
-function withoutBirth(): ServingEndpoint {
+function withoutStartTime(): ServingEndpoint {
 	const {born: _born, ...rest} = endpoint;
 	return rest;
 }
 
-test('a process that starts again under an id is told of once, whoever tells of it and however often', async t => {
-	const {view, told, metrics, settle} = createView(t);
+test('a restart under the same id is emitted once, from any source and however often it arrives', async t => {
+	const {view, emitted, metrics, settle} = createView(t);
 	view.applyAll({revision: 5, changes: [toChange(5)]}, 'store');
 	view.applyChanges({revision: 8, changes: [toChange(8, {born: 2000, address: '10.0.0.2:80'})]}, 'peer');
 	view.applyChanges({revision: 8, changes: [toChange(8, {born: 2000, address: '10.0.0.2:80'})]}, 'store');
 	view.applyAll({revision: 9, changes: [toChange(8, {born: 2000, address: '10.0.0.2:80'})]}, 'store');
 	view.applyChanges({revision: 10, changes: [toChange(10, {born: 2000, state: 'draining'})]}, 'store');
 	await settle();
-	t.same(told, ['1000 ready', '1000 to 2000', '2000 ready', '2000 draining']);
+	t.same(emitted, ['1000 ready', '1000 to 2000', '2000 ready', '2000 draining']);
 	t.equal(metrics.total('gateway.endpoint-incarnations'), 1);
 });
 
-test('a late report of an older incarnation changes nothing, whatever its revision and whoever brings it', async t => {
-	const {view, told, metrics, settle} = createView(t);
+test('a late entry of an older incarnation changes nothing, at any revision and from any source', async t => {
+	const {view, emitted, metrics, settle} = createView(t);
 	view.applyAll({revision: 5, changes: [toChange(5, {born: 2000})]}, 'store');
 	view.applyChanges({revision: 9, changes: [toChange(9, {address: '10.0.0.9:80'})]}, 'store');
 	view.applyAll({revision: 9, changes: [toChange(9, {address: '10.0.0.9:80'})]}, 'store');
@@ -68,33 +68,33 @@
 		revision: 10, configuration: undefined, endpoints: [{endpoint, revision: 9}], nodes: [], removed: [], isSteady: true,
 	});
 	await settle();
-	t.same(told, ['2000 ready']);
+	t.same(emitted, ['2000 ready']);
 	t.match(view.endpoints(), [{born: 2000, address: '10.0.0.1:80'}]);
 	t.equal(metrics.total('gateway.endpoints-outdated'), 1, 'once for its revision');
 });
 
-test('entries that do not say when their process started are one incarnation, before all that say it', async t => {
-	const {view, told, settle} = createView(t);
-	view.applyChanges({revision: 5, changes: [{kind: 'endpoint', revision: 5, endpoint: withoutBirth()}]}, 'store');
-	view.applyChanges({revision: 6, changes: [{kind: 'endpoint', revision: 6, endpoint: {...withoutBirth(), state: 'draining'}}]}, 'store');
+test('entries without a start time are one incarnation, which precedes all others', async t => {
+	const {view, emitted, settle} = createView(t);
+	view.applyChanges({revision: 5, changes: [{kind: 'endpoint', revision: 5, endpoint: withoutStartTime()}]}, 'store');
+	view.applyChanges({revision: 6, changes: [{kind: 'endpoint', revision: 6, endpoint: {...withoutStartTime(), state: 'draining'}}]}, 'store');
 	view.applyChanges({revision: 7, changes: [toChange(7)]}, 'store');
-	view.applyChanges({revision: 8, changes: [{kind: 'endpoint', revision: 8, endpoint: withoutBirth()}]}, 'store');
+	view.applyChanges({revision: 8, changes: [{kind: 'endpoint', revision: 8, endpoint: withoutStartTime()}]}, 'store');
 	await settle();
-	t.same(told, ['none ready', 'none draining', 'none to 1000', '1000 ready']);
+	t.same(emitted, ['none ready', 'none draining', 'none to 1000', '1000 ready']);
 });
 
-test('an incarnation that is removed is gone, and the next one is believed', async t => {
-	const {view, told, settle} = createView(t);
+test('a removed incarnation is not restored, and the next one is added', async t => {
+	const {view, emitted, settle} = createView(t);
 	view.applyChanges({revision: 5, changes: [toChange(5)]}, 'store');
 	view.applyChanges({revision: 6, changes: [{kind: 'endpoint-removed', id: 'i-1', revision: 6}]}, 'store');
 	view.applyChanges({revision: 6, changes: [toChange(5)]}, 'peer');
 	view.applyChanges({revision: 7, changes: [toChange(7, {born: 2000})]}, 'store');
 	await settle();
-	t.same(told, ['1000 ready', 'removed', '2000 ready']);
+	t.same(emitted, ['1000 ready', 'removed', '2000 ready']);
 });
 
-test('an entry that its endpoint did not write stops new work there, and the endpoint\'s next word brings it back', async t => {
-	const {view, told, metrics, settle} = createView(t);
+test('an unreadable entry drains its endpoint, and the next entry that the endpoint writes makes it ready again', async t => {
+	const {view, emitted, metrics, settle} = createView(t);
 	view.applyAll({revision: 5, changes: [toChange(4), toChange(5, {id: 'i-2'})]}, 'store');
 	view.applyAll({revision: 8, changes: [toUnreadable(8), toChange(5, {id: 'i-2'})]}, 'store');
 	view.applyAll({revision: 9, changes: [toUnreadable(8), toUnreadable(9, 'i-3'), toChange(5, {id: 'i-2'})]}, 'store');
@@ -103,7 +103,7 @@
 	view.applyChanges({revision: 10, changes: [toChange(10)]}, 'store');
 	t.match(view.endpoints(), [{id: 'i-1', state: 'ready'}, {id: 'i-2', state: 'ready'}]);
 	await settle();
-	t.same(told, ['1000 ready', '1000 ready', '1000 draining', '1000 ready']);
+	t.same(emitted, ['1000 ready', '1000 ready', '1000 draining', '1000 ready']);
 });
 
 const changes = fc.array(fc.record({
@@ -111,7 +111,7 @@
 }), {maxLength: 12});
 
 /**
-One writer at each revision, as in the store.
+Keeps one entry for each revision, as in the store.
 */
 function toHistory(entries: ReadonlyArray<{readonly revision: number; readonly born: number; readonly state: ServingEndpoint['state']}>): readonly ClusterChange[] {
 	return new Map(entries.map(entry => [entry.revision, entry])).values().map(({revision, ...rest}) => toChange(revision, rest)).toArray();
@@ -125,7 +125,7 @@
 	return view.endpoints();
 }
 
-test('nodes that hear the same entries believe the same incarnation, in whatever order they hear them', t => {
+test('views that receive the same entries have the same incarnation, in any order of arrival', t => {
 	fc.assert(fc.property(changes, fc.infiniteStream(fc.nat()), (entries, keys) => {
 		const history = toHistory(entries);
 		const shuffled = history.map(change => ({change, key: keys.next().value as number})).toSorted((a, b) => a.key - b.key).map(({change}) => change);
--- a/gateway/cluster-view/test/state-since.test.ts
+++ b/gateway/cluster-view/test/state-since.test.ts
@@ -1,7 +1,6 @@
 /*
-A node that is behind asks a peer for what is newer than its own revision. Each node of a fleet that started took the whole state of a
-peer three or four times, 70 kB each at 195 nodes. What comes in place of it must leave nothing out: not a removal, not a
-configuration, not an entry that came, went and came again.
+A node that is behind requests only the entries newer than its revision. Guards against a partial state that leaves out a change,
+such as a removal or an entry that was removed and added again.
 */
 import fc from 'fast-check';
 import {test} from 'tap';
@@ -11,7 +10,7 @@
 
 const logger = {
 	info() {
-		// Lines are not looked at here.
+		// Log lines are not checked here.
 	},
 	warn() {
 		// As above.
@@ -20,7 +19,7 @@
 		// As above.
 	},
 	async flush() {
-		// Nothing is kept.
+		// Nothing is buffered.
 	},
 };
 
@@ -54,7 +53,7 @@
 
 const step = fc.record({kind: fc.constantFrom<Array<Step['kind']>>('endpoint', 'endpoint-removed', 'node', 'node-removed'), number: fc.integer({min: 0, max: 5})});
 
-test('what is newer than its revision takes a node to where its peer is', t => {
+test('the entries newer than its revision bring a node to the state of its peer', t => {
 	fc.assert(fc.property(fc.array(step, {minLength: 1, maxLength: 40}), fc.nat(40), (steps, known) => {
 		const peer = createView();
 		const behind = createView();
@@ -75,7 +74,7 @@
 	t.end();
 });
 
-test('a peer whose marks of removals do not reach back so far tells all', t => {
+test('a peer whose tombstones do not reach back to the revision sends all entries', t => {
 	const peer = createView();
 	const endpoints = 300;
 	for (let number = 0; number < endpoints; number++) {
--- a/gateway/cluster-view/test/store-follower.test.ts
+++ b/gateway/cluster-view/test/store-follower.test.ts
@@ -21,17 +21,17 @@
 };
 
 /**
-Long enough for the busiest machine, but where a test is about silence.
+Timeout of calls in tests that don't need one. Long, so that high CPU load causes no timeouts.
 */
-const patientMs = 10_000;
+const longTimeoutMs = 10_000;
 
 type FollowerChange = {
 	readonly timeoutMs?: number;
-	readonly lapseGraceMs?: number;
+	readonly removalGraceMs?: number;
 	readonly isNeeded?: () => boolean;
 };
 
-async function startFollower(t: Test, {timeoutMs = patientMs, lapseGraceMs = 50, isNeeded = () => true}: FollowerChange = {}) {
+async function startFollower(t: Test, {timeoutMs = longTimeoutMs, removalGraceMs = 50, isNeeded = () => true}: FollowerChange = {}) {
 	const server = await startFakeFleetStore();
 	server.put('op/config', {version: 1, routes: [], services: []});
 	for (const id of ['i-1', 'i-2', 'i-3', 'i-4']) {
@@ -42,7 +42,7 @@
 	const metrics = createMetrics();
 	const store = createFleetStore({
 		address: server.address, timeoutMs, onCall() {
-		// Nothing is counted here.
+		// Calls are not counted here.
 		},
 	});
 	const view = createClusterView({logger, metrics});
@@ -58,7 +58,7 @@
 		retryMs: 10,
 		leaseMs: 4000,
 		renewMs: 250,
-		removalGraceMs: lapseGraceMs,
+		removalGraceMs,
 		isFollower: () => true,
 		isNeeded,
 		logger,
@@ -75,7 +75,7 @@
 	return {server, view, follower};
 }
 
-test('a node follows every page of the store and every change', async t => {
+test('a node reads every page of the store and every change', async t => {
 	const {server, view} = await startFollower(t);
 	t.equal(view.configuration()?.version, 1);
 	server.put('servers/i-2', {...service, state: 'draining'});
@@ -86,7 +86,7 @@
 	t.equal(view.endpoints().find(({id}) => id === 'i-2')?.state, 'draining');
 });
 
-test('a node registers itself, and again when its lease has ended', async t => {
+test('a node registers, and again when its lease has expired', async t => {
 	const {server, view} = await startFollower(t);
 	await waitUntil(() => view.nodes().some(({id}) => id === 'n1'));
 	server.endLeases();
@@ -96,9 +96,9 @@
 	t.equal(view.nodes().length, 1);
 });
 
-test('a store that has dropped its history is listed anew', async t => {
+test('a store that has compacted its history is listed again', async t => {
 	const {server, view} = await startFollower(t);
-	// The node's own entry has come by a watch, so the next watch waits.
+	// The node's own entry arrived by a watch, so the next watch is waiting.
 	await waitUntil(() => view.nodes().length === 1 && (server.calls().get('kv-watch') ?? 0) >= 1);
 	server.setFault('compact');
 	server.cut();
@@ -107,19 +107,19 @@
 	t.ok((server.calls().get('kv-range') ?? 0) >= 2);
 });
 
-test('a silent store is noticed by the renewals while the watch waits, and its return brings everything', async t => {
+test('renewals detect an unresponsive store while the watch waits, and all changes arrive when it answers again', async t => {
 	const {server, view, follower} = await startFollower(t, {timeoutMs: 100});
 	await waitUntil(() => view.nodes().length === 1);
 	server.setFault('silent');
 	await waitUntil(() => !follower.isReachable());
 	server.put('op/config', {version: 9, routes: [], services: []});
-	t.equal(view.endpoints().length, 4, 'beliefs stay');
+	t.equal(view.endpoints().length, 4, 'the view keeps its entries');
 	server.setFault(undefined);
 	await waitUntil(() => view.configuration()?.version === 9);
 });
 
-test('endpoints that lapsed while the store refused are kept until the time of grace is over', async t => {
-	const {server, view, follower} = await startFollower(t, {lapseGraceMs: 3_600_000});
+test('endpoints whose lease expired while the store refused calls are kept until the grace period is over', async t => {
+	const {server, view, follower} = await startFollower(t, {removalGraceMs: 3_600_000});
 	server.setFault('refuse');
 	await waitUntil(() => !follower.isReachable());
 	server.remove('servers/i-1');
@@ -129,27 +129,27 @@
 	server.put('servers/i-5', service);
 	await waitUntil(() => view.endpoints().some(({id}) => id === 'i-5'));
 	t.same(view.endpoints().map(({id}) => id), ['i-1', 'i-2', 'i-3', 'i-4', 'i-5']);
-	t.notOk(follower.isSteady(), 'peers are not told that what is missing was removed');
+	t.notOk(follower.isSteady(), 'peers do not treat missing entries as removed');
 });
 
-test('a call that was under way when the store came back, and fails after that, does not begin a new outage', async t => {
+test('a call that began before the store was reachable again and fails later does not begin a new outage', async t => {
 	const renewal = Promise.withResolvers<void>();
 	const failure = new ValvesaddleError('ERR_VALVESADDLE_KV_UNAVAILABLE', 'timed out');
-	let isAway = false;
-	let isBack = false;
-	let graces = 0;
+	let isUnavailable = false;
+	let isReachableAgain = false;
+	let gracePeriods = 0;
 	let renewals = 0;
 	const never = new Promise(() => {
-		// Waits for changes that do not come.
+		// Waits for changes that never arrive.
 	});
-	const isLeft = Promise.withResolvers<void>();
+	const watchEnd = Promise.withResolvers<void>();
 	const logger = createLogger({node: 'n', level: 'silent'});
 	const metrics = createMetrics();
 	const view = createClusterView({logger, metrics});
 	const follower = createStoreFollower({
 		store: {
-			list: () => isAway ? errAsync(failure) : okAsync({revision: 1, changes: []}),
-			watch: () => new ResultAsync((isBack ? never : isLeft.promise).then(() => err(failure))),
+			list: () => isUnavailable ? errAsync(failure) : okAsync({revision: 1, changes: []}),
+			watch: () => new ResultAsync((isReachableAgain ? never : watchEnd.promise).then(() => err(failure))),
 			register: () => okAsync('lease'),
 			renew() {
 				renewals++;
@@ -157,13 +157,13 @@
 			},
 			release: () => okAsync(undefined),
 			async close() {
-				// Nothing is open.
+				// Nothing to close.
 			},
 		},
 		view: {
 			...view,
 			setRemovalGraceUntil(time) {
-				graces++;
+				gracePeriods++;
 				view.setRemovalGraceUntil(time);
 			},
 		},
@@ -178,32 +178,33 @@
 	});
 	follower.start();
 	await waitUntil(() => renewals === 1);
-	isAway = true;
-	isLeft.resolve();
+	isUnavailable = true;
+	watchEnd.resolve();
 	await waitUntil(() => !follower.isReachable());
-	isAway = false;
-	isBack = true;
+	isUnavailable = false;
+	isReachableAgain = true;
 	await waitUntil(() => follower.isReachable());
 	const failures = metrics.total('gateway.store-failures');
 	renewal.resolve();
 	await waitUntil(() => metrics.total('gateway.store-failures') > failures);
 	t.ok(follower.isReachable());
 	await waitUntil(() => renewals > 3);
-	t.equal(graces, 1, 'the time of grace begins once');
+	t.equal(gracePeriods, 1, 'the grace period begins once');
 });
 
 /**
-Starts a follower of a scripted store whose registrations fail from the first watch on, until `isAway` is unset. The watch never answers.
+Starts a follower of a fake store whose registrations fail from the first watch on, until `isUnavailable` is unset. The watch never
+answers.
 */
 function startUnregistered(t: Test, isNeeded: () => boolean) {
 	const failure = new ValvesaddleError('ERR_VALVESADDLE_KV_UNAVAILABLE', 'refused');
 	const state = {
-		isAway: false, lists: 0, registrations: 0, renewals: 0, graces: 0,
+		isUnavailable: false, lists: 0, registrations: 0, renewals: 0, gracePeriods: 0,
 	};
 	const signals: Array<AbortSignal | undefined> = [];
 	const isWatching = Promise.withResolvers<void>();
 	const never = new Promise<Result<ClusterChanges, ValvesaddleError>>(() => {
-		// Waits for changes that do not come.
+		// Waits for changes that never arrive.
 	});
 	const logger = createLogger({node: 'n', level: 'silent'});
 	const metrics = createMetrics();
@@ -212,17 +213,17 @@
 		store: {
 			list() {
 				state.lists++;
-				return state.isAway ? errAsync(failure) : okAsync({revision: 1, changes: []});
+				return state.isUnavailable ? errAsync(failure) : okAsync({revision: 1, changes: []});
 			},
 			watch(_after, _waitMs, signal) {
 				signals.push(signal);
-				state.isAway = state.lists === 1;
+				state.isUnavailable = state.lists === 1;
 				isWatching.resolve();
 				return new ResultAsync(never);
 			},
 			register() {
 				state.registrations++;
-				return new ResultAsync(isWatching.promise.then(() => state.isAway ? err(failure) : ok('lease')));
+				return new ResultAsync(isWatching.promise.then(() => state.isUnavailable ? err(failure) : ok('lease')));
 			},
 			renew() {
 				state.renewals++;
@@ -230,13 +231,13 @@
 			},
 			release: () => okAsync(undefined),
 			async close() {
-				// Nothing is open.
+				// Nothing to close.
 			},
 		},
 		view: {
 			...view,
 			setRemovalGraceUntil(time) {
-				state.graces++;
+				state.gracePeriods++;
 				view.setRemovalGraceUntil(time);
 			},
 		},
@@ -253,22 +254,22 @@
 	return {state, signals, follower};
 }
 
-test('a store that is lost before the node is registered is noticed by the registration while the watch waits', async t => {
+test('a registration detects a store that is lost before the node is registered, while the watch waits', async t => {
 	const {state, follower} = startUnregistered(t, () => true);
 	await waitUntil(() => state.registrations > 1);
 	t.notOk(follower.isReachable());
-	t.ok(state.lists > 1, 'the watch is not waited for');
-	state.isAway = false;
+	t.ok(state.lists > 1, 'the pending watch does not delay the next list');
+	state.isUnavailable = false;
 	await waitUntil(() => state.renewals > 0);
 	t.ok(follower.isReachable());
-	t.equal(state.graces, 1, 'what lapsed meanwhile has its time of grace');
+	t.equal(state.gracePeriods, 1, 'the grace period begins');
 });
 
-test('a watch that is not waited for is ended, so that it keeps no connection', async t => {
+test('a watch that is no longer waited for is aborted, so that it occupies no connection', async t => {
 	const {state, signals, follower} = startUnregistered(t, () => true);
 	await waitUntil(() => state.registrations > 1);
 	t.match(signals, [{aborted: true}]);
-	state.isAway = false;
+	state.isUnavailable = false;
 	await waitUntil(() => signals.length === 2);
 	t.match(signals, [{aborted: true}, {aborted: false}]);
 	await follower.close();
@@ -276,18 +277,18 @@
 	t.match(signals, [{aborted: true}, {aborted: true}]);
 });
 
-test('a node that lost the store before it was registered registers later, though others watch for it by then', async t => {
+test('a node that lost the store before it was registered registers later, even when others watch for it by then', async t => {
 	let isNeeded = true;
 	const {state, follower} = startUnregistered(t, () => isNeeded);
 	await waitUntil(() => state.registrations > 0);
 	isNeeded = false;
-	await waitUntil(() => state.isAway && state.registrations > 1);
-	state.isAway = false;
+	await waitUntil(() => state.isUnavailable && state.registrations > 1);
+	state.isUnavailable = false;
 	await waitUntil(() => state.renewals > 0);
 	t.ok(follower.isReachable());
 });
 
-test('a node for which others watch makes no calls but renewals, and follows again when it must', async t => {
+test('a node for which others watch makes no calls except renewals, and watches again when needed', async t => {
 	let isNeeded = true;
 	const {server, view, follower} = await startFollower(t, {isNeeded: () => isNeeded});
 	await waitUntil(() => follower.isSteady() && view.nodes().length === 1);
--- a/gateway/news/src/create-load-aggregator.ts
+++ b/gateway/news/src/create-load-aggregator.ts
@@ -44,7 +44,7 @@
  all nodes except itself, so its traffic doesn't grow with the fleet.
 
  @example
- const relay = createNewsRelay({node: 'n1'});
+ const aggregator = createLoadAggregator({node: 'n1'});
  aggregator.addMember({origin: 'n7', nodes: 1, loads: [['i-7f', load]], placements: []});
  aggregator.takeForRelay('r2')?.nodes; // 2
  */
