--- a/emulator/fleet/src/start-caller.ts
+++ b/emulator/fleet/src/start-caller.ts
@@ -94,7 +94,7 @@
 		answer() {
 			settle('failed');
 		},
-		begin() {
+		start() {
 			// The first event counts.
 		},
 		write() {
@@ -108,7 +108,7 @@
 			// Never slow.
 		},
 		end: handleEnd,
-		cut() {
+		abort() {
 			settle('failed');
 		},
 		refuse(error) {
@@ -125,7 +125,7 @@
 		lastAt = clock.now();
 		const requestId = `${prompt.facts.requestId} ${tries}`;
 		task = chooseNode().forwarder.forward({
-			facts: {...prompt.facts, requestId, waitMs: askedAt + kind.timeoutMs - clock.now()},
+			metadata: {...prompt.facts, requestId, waitMs: askedAt + kind.timeoutMs - clock.now()},
 			route: toRoute(kind),
 			version: 1,
 			pool: 'engines',
--- a/gateway/exchange/src/create-event-relay.ts
+++ b/gateway/exchange/src/create-event-stream-filter.ts
@@ -1,5 +1,5 @@
 import {Buffer} from 'node:buffer';
-import type {EventRelay} from './event-relay.ts';
+import type {EventStreamFilter} from './event-stream-filter.ts';
 
 const boundary = '\n\n';
 const idPattern = /^id:\s*(?<id>\d+)\s*$/mv;
@@ -20,7 +20,7 @@
  relay.push(Buffer.from('id: 0\ndata: a\n\nid: 1\nda')).length; // 14
  relay.lastEventId(); // 0
  */
-export function createEventRelay(firstAfter: number): EventRelay {
+export function createEventStreamFilter(firstAfter: number): EventStreamFilter {
 	let lastId = firstAfter;
 	let rest = nothing;
 
@@ -58,7 +58,7 @@
 			rest = nothing;
 		},
 		lastEventId: () => lastId,
-		hasRest: () => rest.length > 0,
+		hasPartialEvent: () => rest.length > 0,
 	};
 }
 
--- a/gateway/exchange/src/event-relay.ts
+++ b/gateway/exchange/src/event-stream-filter.ts
@@ -1,7 +1,7 @@
 /**
 Passes on whole events of a stream, each once, over several runs of one request.
 */
-export type EventRelay = {
+export type EventStreamFilter = {
 	/**
 	Takes in a piece of a stream; returns the whole events in it that were not passed on before.
 	*/
@@ -17,5 +17,5 @@
 	/**
 	Whether a half event is held.
 	*/
-	readonly hasRest: () => boolean;
+	readonly hasPartialEvent: () => boolean;
 };
--- a/gateway/exchange/src/index.ts
+++ b/gateway/exchange/src/index.ts
@@ -1,6 +1,6 @@
-export {createEventRelay} from './create-event-relay.ts';
+export {createEventStreamFilter} from './create-event-stream-filter.ts';
 export {createExchangeClient} from './create-exchange-client.ts';
-export type {EventRelay} from './event-relay.ts';
+export type {EventStreamFilter} from './event-stream-filter.ts';
 export type {Exchange} from './exchange.ts';
 export type {ExchangeClient} from './exchange-client.ts';
 export type {ExchangeClientOptions} from './exchange-client-options.ts';
--- a/gateway/forwarding/src/create-admitter.ts
+++ b/gateway/forwarding/src/create-admitter.ts
@@ -14,7 +14,7 @@
  admitter.decide({costMs: 900, readMs: 50}, false).kind; // 'refuse'
  */
 export function createAdmitter(options: Pick<ForwarderOptions, 'waits' | 'admission' | 'logger' | 'metrics'>, request: ForwardRequest, waitMs: number): Admitter {
-	const {facts, route} = request;
+	const {metadata: facts, route} = request;
 	const spentMs = facts.waitMs === undefined ? 0 : options.waits.record(route.name, waitMs);
 
 	return {
--- a/gateway/forwarding/src/create-answer-writer.ts
+++ b/gateway/forwarding/src/create-answer-writer.ts
@@ -1,12 +1,12 @@
 import {Buffer} from 'node:buffer';
-import {createEventRelay} from '@valvesaddle/exchange';
+import {createEventStreamFilter} from '@valvesaddle/exchange';
 import type {WireFormat} from '@valvesaddle/gateway-types';
 import type {AnswerWriter} from './answer-writer.ts';
 import type {ForwardRequest} from './forward-request.ts';
 import type {Reply} from './reply.ts';
 
 type AnswerWriterOptions = {
-	readonly request: Pick<ForwardRequest, 'route' | 'facts'>;
+	readonly request: Pick<ForwardRequest, 'route' | 'metadata'>;
 	readonly reply: Reply;
 	readonly wire: Pick<WireFormat, 'writeAnswer'>;
 };
@@ -19,8 +19,8 @@
  writer.begin(answer);
  writer.write(chunk);
  */
-export function createAnswerWriter({request: {route, facts}, reply, wire}: AnswerWriterOptions): AnswerWriter {
-	const relay = route.kind === 'stream' && route.isResumable ? createEventRelay(facts.lastEventId) : undefined;
+export function createAnswerWriter({request: {route, metadata: facts}, reply, wire}: AnswerWriterOptions): AnswerWriter {
+	const relay = route.kind === 'stream' && route.isResumable ? createEventStreamFilter(facts.lastEventId) : undefined;
 	let isBegun = false;
 
 	return {
@@ -31,7 +31,7 @@
 			}
 
 			isBegun = true;
-			reply.begin(answer.status, wire.writeAnswer(answer.headers));
+			reply.start(answer.status, wire.writeAnswer(answer.headers));
 		},
 		write(chunk) {
 			const bytes = relay === undefined ? chunk : relay.push(chunk);
@@ -39,7 +39,7 @@
 		},
 		onDrain: reply.onDrain,
 		lastEventId: () => isBegun ? relay?.lastEventId() ?? -1 : -1,
-		hasRest: () => relay?.hasRest() === true,
+		hasRest: () => relay?.hasPartialEvent() === true,
 		dropRest() {
 			relay?.restart();
 		},
--- a/gateway/forwarding/src/create-attempt.ts
+++ b/gateway/forwarding/src/create-attempt.ts
@@ -21,7 +21,7 @@
  */
 export function createAttempt({tools, request, question, selection, writer, record, remainingMs}: AttemptOptions, events: AttemptEvents): Attempt {
 	const {selector, exchanges, wire} = tools;
-	const {facts} = request;
+	const {metadata: facts} = request;
 	const {endpoint} = selection;
 	const work = selector.open(selection, question);
 	let answer: AttemptAnswer | undefined;
--- a/gateway/forwarding/src/create-forward-task.ts
+++ b/gateway/forwarding/src/create-forward-task.ts
@@ -31,7 +31,7 @@
  */
 export function createForwardTask(options: ForwarderOptions, {request, reply, onOver}: ForwardTaskOptions): ForwardTask {
 	const {selector, wire, metrics} = options;
-	const {facts, route} = request;
+	const {metadata: facts, route} = request;
 	const waitMs = Math.min(route.timeoutMs, facts.waitMs ?? Infinity);
 	const deadlineAt = request.arrivedAt + waitMs;
 	const writer = createAnswerWriter({request, reply, wire});
@@ -103,13 +103,13 @@
 		}
 
 		isBegun = true;
-		options.onBegun?.(request.account?.name ?? '', at);
+		options.onStarted?.(request.account?.name ?? '', at);
 	}
 
 	function refuse(error: ValvesaddleError): void {
 		if (writer.isBegun()) {
 			closeTask('broken-off', 0);
-			reply.cut();
+			reply.abort();
 			return;
 		}
 
--- a/gateway/forwarding/src/create-request-record.ts
+++ b/gateway/forwarding/src/create-request-record.ts
@@ -11,7 +11,7 @@
  record.recordEnd('answered', 200, {tries: 1, runs: 1});
  */
 export function createRequestRecord({logger, metrics}: Pick<ForwarderOptions, 'logger' | 'metrics'>, request: ForwardRequest): RequestRecord {
-	const {facts, route, pool} = request;
+	const {metadata: facts, route, pool} = request;
 	const id = facts.requestId ?? '-';
 	const clock = createPieceClock(request.arrivedAt, metrics);
 
--- a/gateway/forwarding/src/forward-request.ts
+++ b/gateway/forwarding/src/forward-request.ts
@@ -4,7 +4,7 @@
 A caller's request, read in full and allowed by the configuration.
 */
 export type ForwardRequest = {
-	readonly facts: RequestFacts;
+	readonly metadata: RequestFacts;
 	readonly route: Route;
 	/**
 	Version of the configuration that allowed it.
--- a/gateway/forwarding/src/forwarder-options.ts
+++ b/gateway/forwarding/src/forwarder-options.ts
@@ -18,7 +18,7 @@
 	/**
 	Told once of each request that began to run: when, in milliseconds on the steady clock, and for which client account.
 	*/
-	readonly onBegun?: (account: string, at: number) => void;
+	readonly onStarted?: (account: string, at: number) => void;
 	readonly admission: AdmissionSettings;
 	readonly logger: Logger;
 	readonly metrics: Metrics;
--- a/gateway/forwarding/src/reply.ts
+++ b/gateway/forwarding/src/reply.ts
@@ -11,7 +11,7 @@
 	/**
 	Begins an answer that comes in pieces.
 	*/
-	readonly begin: (status: number, headers: string[]) => void;
+	readonly start: (status: number, headers: string[]) => void;
 	/**
 	Writes a piece; `false` when the caller reads more slowly, until `onDrain` is called.
 	*/
@@ -24,6 +24,6 @@
 	/**
 	Breaks an answer off, so that it cannot be taken for whole.
 	*/
-	readonly cut: () => void;
+	readonly abort: () => void;
 	readonly refuse: (error: ValvesaddleError) => void;
 };
--- a/gateway/forwarding/test/decisions.test.ts
+++ b/gateway/forwarding/test/decisions.test.ts
@@ -103,11 +103,11 @@
 		logger: createLogger({node: 'n', level: 'silent'}),
 		metrics: createMetrics(),
 	};
-	const facts = {
+	const metadata = {
 		requestId: 'a', waitMs: 6000, apiKey: undefined, promptTokens: 9000, outputTokens: 200, parts: [], lastEventId: -1,
 	};
 	const request = {
-		facts, route: {...route, kind: 'stream' as const, latencyObjectiveMs: 600}, version: 1, pool: 'p', isEnginePool: true, account: undefined, method: 'POST', path: '/', rawHeaders: [], body: undefined, arrivedAt: performance.now(),
+		metadata, route: {...route, kind: 'stream' as const, latencyObjectiveMs: 600}, version: 1, pool: 'p', isEnginePool: true, account: undefined, method: 'POST', path: '/', rawHeaders: [], body: undefined, arrivedAt: performance.now(),
 	};
 	const admitter = createAdmitter(options, request, 6000);
 	const late = {costMs: 2000, readMs: 100};
--- a/gateway/front/src/create-front.ts
+++ b/gateway/front/src/create-front.ts
@@ -109,7 +109,7 @@
 		const account = unwrapResult(index.authenticate(route, facts.apiKey));
 		const pool = pickTarget(route.targets, Math.random())?.pool ?? '';
 		return {
-			facts, route, version: index.version, account, pool, isEnginePool: index.findPool(pool)?.engine !== undefined,
+			metadata: facts, route, version: index.version, account, pool, isEnginePool: index.findPool(pool)?.engine !== undefined,
 			method: request.method ?? 'GET', path, rawHeaders: request.rawHeaders, arrivedAt,
 		};
 	}
@@ -122,8 +122,8 @@
 		}
 
 		logger.info({
-			name: 'request-admitted', request: head.facts.requestId ?? '-', route: head.route.name, version: head.version, account: head.account?.name,
-			priority: head.account?.priority ?? head.route.priority, promptTokens: head.facts.promptTokens, outputTokens: head.facts.outputTokens, waitMs: head.facts.waitMs,
+			name: 'request-admitted', request: head.metadata.requestId ?? '-', route: head.route.name, version: head.version, account: head.account?.name,
+			priority: head.account?.priority ?? head.route.priority, promptTokens: head.metadata.promptTokens, outputTokens: head.metadata.outputTokens, waitMs: head.metadata.waitMs,
 		});
 		const task = options.forwarder.forward({...head, body}, createReply(response, options.isLeaving));
 		response.once('close', task.cancel);
@@ -159,7 +159,7 @@
 			await promise;
 			clearInterval(timer);
 		},
-		cut() {
+		closeNow() {
 			server.close();
 			server.closeAllConnections();
 		},
--- a/gateway/front/src/create-reply.ts
+++ b/gateway/front/src/create-reply.ts
@@ -21,7 +21,7 @@
 			response.writeHead(status, toHead([...headers, 'content-length', String(body.length)]));
 			response.end(body);
 		},
-		begin(status, headers) {
+		start(status, headers) {
 			response.writeHead(status, toHead(headers));
 			response.flushHeaders();
 		},
@@ -35,7 +35,7 @@
 		end() {
 			response.end();
 		},
-		cut() {
+		abort() {
 			response.destroy();
 		},
 		refuse(error) {
--- a/gateway/front/src/front.ts
+++ b/gateway/front/src/front.ts
@@ -14,5 +14,5 @@
 	/**
 	Ends every connection at once.
 	*/
-	readonly cut: () => void;
+	readonly closeNow: () => void;
 };
--- a/gateway/front/test/reply.test.ts
+++ b/gateway/front/test/reply.test.ts
@@ -45,7 +45,7 @@
 	let turns: readonly boolean[] = [];
 	const port = await startServer(t, (_request, response) => {
 		const reply = createReply(response, () => false);
-		reply.begin(200, ['content-type', 'text/event-stream']);
+		reply.start(200, ['content-type', 'text/event-stream']);
 		function writeFrom(index: number): void {
 			if (index === pieces.length) {
 				reply.end();
@@ -80,7 +80,7 @@
 	const {promise: drained, resolve: markDrained} = Promise.withResolvers<void>();
 	const port = await startServer(t, (_request, response) => {
 		const reply = createReply(response, () => false);
-		reply.begin(200, []);
+		reply.start(200, []);
 		written++;
 		while (reply.write(piece)) {
 			written++;
@@ -111,9 +111,9 @@
 	socket.write('GET /a HTTP/1.1\r\nhost: h\r\n\r\nGET /b HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n');
 	await both;
 	const [first, second] = replies;
-	second!.begin(200, []);
+	second!.start(200, []);
 	second!.write(Buffer.from('second'));
-	first!.begin(200, []);
+	first!.start(200, []);
 	first!.write(Buffer.from('first'));
 	first!.end();
 	second!.write(Buffer.from(' and more'));
@@ -129,7 +129,7 @@
 test('an answer to a caller that knows no chunks has none', async t => {
 	const port = await startServer(t, (_request, response) => {
 		const reply = createReply(response, () => false);
-		reply.begin(200, []);
+		reply.start(200, []);
 		reply.write(Buffer.from('plain'));
 		reply.end();
 	});
--- a/node/gateway/src/create-gateway.ts
+++ b/node/gateway/src/create-gateway.ts
@@ -140,7 +140,7 @@
 		exchanges,
 		budget,
 		waits: createUsualWaits(),
-		onBegun(account, at) {
+		onStarted(account, at) {
 			sync.usage?.count(account, at);
 		},
 		admission: {lateFactor: admission.late_factor, waitFactor: admission.wait_factor, returnFactor: admission.return_factor},
@@ -189,7 +189,7 @@
 	});
 
 	async function close(): Promise<void> {
-		front.cut();
+		front.closeNow();
 		sync.close();
 		await Promise.race([duties?.close(), wait(closeMs, undefined, {ref: false})]);
 		await Promise.race([follower.close(), wait(closeMs, undefined, {ref: false})]);
