--- a/gateway/exchange/src/connection-pool.ts
+++ b/gateway/exchange/src/connection-pool.ts
@@ -1,31 +1,31 @@
 import type {Dispatcher} from 'undici';
 
 /**
-Connections to one address.
+Connections to one endpoint address, with at most one exchange at a time on each.
 */
 export type ConnectionPool = {
 	/**
-	Whether a connection is open that carries nothing now.
+	Whether an open connection is idle.
 	*/
 	readonly hasIdle: () => boolean;
 	/**
-	Takes the connection that was used last, or opens one.
+	Returns the most recently used idle connection, or opens a new one.
 	*/
-	readonly take: () => Dispatcher;
+	readonly acquire: () => Dispatcher;
 	/**
-	Gives a connection back whose answer was whole.
+	Returns a connection to the pool after a complete response.
 	*/
-	readonly giveBack: (connection: Dispatcher) => void;
+	readonly release: (connection: Dispatcher) => void;
 	/**
 	Closes a connection whose exchange failed.
 	*/
-	readonly drop: (connection: Dispatcher) => void;
+	readonly closeFailed: (connection: Dispatcher) => void;
 	/**
-	Closes idle connections, and others when they are given back.
+	Closes idle connections now, and busy ones when they are released.
 	*/
 	readonly close: () => void;
 	/**
-	Closes all connections at once.
+	Closes all connections immediately, including busy ones.
 	*/
 	readonly destroy: () => void;
 };
--- a/gateway/exchange/src/create-connection-pool.ts
+++ b/gateway/exchange/src/create-connection-pool.ts
@@ -13,14 +13,15 @@
 };
 
 /**
-An idle connection is given up so long before the endpoint would close it, in milliseconds: a request must not cross that.
+Closes an idle connection this long before the endpoint's keep-alive timeout, in milliseconds, so that a request is not sent on
+a connection that the endpoint is closing.
 */
 const keepAliveMarginMs = 1000;
-const longestKeepAliveMs = 600_000;
+const maximumKeepAliveMs = 600_000;
 
 /**
- Creates the connections to an address. The one that was used last is used next, so that few are kept and those are fresh:
- each new connection takes an endpoint's time, and an idle one may be closed while a request is on its way.
+ Creates the connection pool of an address. The most recently used connection is reused first, so that few are kept open and
+ an idle one is unlikely to be closed by the endpoint while a request is sent.
 
  @example
  const connections = createConnectionPool({address: '10.0.0.7:8080', connectMs: 400, keepAliveMs: 4000, onConnect() {}});
@@ -42,12 +43,12 @@
 	function openClient(): Client {
 		const client = new Client(`http://${options.address}`, {
 			pipelining: 1,
-			// The gateway's own timers decide; these would end an answer that is only slow.
+			// The gateway's own timers apply; these would abort slow responses.
 			headersTimeout: 0,
 			bodyTimeout: 0,
 			connect: createStrictConnector({timeout: options.connectMs}),
 			keepAliveTimeout: options.keepAliveMs,
-			keepAliveMaxTimeout: longestKeepAliveMs,
+			keepAliveMaxTimeout: maximumKeepAliveMs,
 			keepAliveTimeoutThreshold: keepAliveMarginMs,
 		});
 		client.on('connect', options.onConnect);
@@ -65,14 +66,14 @@
 	function closeClient(client: Client): void {
 		remove(client);
 		client.destroy().catch(() => {
-			// It is gone all the same.
+			// The connection is closed in any case.
 		});
 	}
 
 	return {
 		hasIdle: () => idle.length > 0,
-		take: () => idle.pop() ?? openClient(),
-		giveBack(connection) {
+		acquire: () => idle.pop() ?? openClient(),
+		release(connection) {
 			const client = findClient(connection);
 			if (client === undefined) {
 				return;
@@ -84,7 +85,7 @@
 				idle.push(client);
 			}
 		},
-		drop(connection) {
+		closeFailed(connection) {
 			const client = findClient(connection);
 			if (client !== undefined) {
 				closeClient(client);
--- a/gateway/exchange/src/create-event-stream-filter.ts
+++ b/gateway/exchange/src/create-event-stream-filter.ts
@@ -3,26 +3,27 @@
 
 const boundary = '\n\n';
 const idPattern = /^id:\s*(?<id>\d+)\s*$/mv;
-const nothing = Buffer.alloc(0);
+const emptyBuffer = Buffer.alloc(0);
 /**
-Bytes of a line that begins an event with its id, as all usual ones do.
+Prefix of an event whose first line is its id, which is the common case.
 */
-const idLead = new Uint8Array(Buffer.from('id: '));
+const idPrefix = new Uint8Array(Buffer.from('id: '));
 const lineEnd = 10;
 const digitZero = 48;
-const base = 10;
+const decimalBase = 10;
 
 /**
- Creates the relay of an event stream.
+ Creates the filter of a server-sent event stream.
 
+ @param afterId - Id of the last event that the caller already has; -1 for none.
  @example
- const relay = createEventRelay(-1);
- relay.push(Buffer.from('id: 0\ndata: a\n\nid: 1\nda')).length; // 14
- relay.lastEventId(); // 0
+ const filter = createEventStreamFilter(-1);
+ filter.push(Buffer.from('id: 0\ndata: a\n\nid: 1\nda')).length; // 14
+ filter.lastEventId(); // 0
  */
-export function createEventStreamFilter(firstAfter: number): EventStreamFilter {
-	let lastId = firstAfter;
-	let rest = nothing;
+export function createEventStreamFilter(afterId: number): EventStreamFilter {
+	let lastId = afterId;
+	let partialEvent = emptyBuffer;
 
 	function isNew(event: Uint8Array): boolean {
 		const id = readEventId(event);
@@ -40,54 +41,54 @@
 
 	return {
 		push(chunk) {
-			const data = rest.length === 0 ? Buffer.from(chunk.buffer, chunk.byteOffset, chunk.byteLength) : Buffer.concat([rest, chunk]);
-			const passed: Uint8Array[] = [];
+			const data = partialEvent.length === 0 ? Buffer.from(chunk.buffer, chunk.byteOffset, chunk.byteLength) : Buffer.concat([partialEvent, chunk]);
+			const newEvents: Uint8Array[] = [];
 			let from = 0;
 			for (let end = data.indexOf(boundary); end !== -1; end = data.indexOf(boundary, from)) {
 				const event = data.subarray(from, end + boundary.length);
 				from = end + boundary.length;
 				if (isNew(event)) {
-					passed.push(event);
+					newEvents.push(event);
 				}
 			}
 
-			rest = from === data.length ? nothing : Buffer.from(data.subarray(from));
-			return passed.length === 1 ? passed[0]! : Buffer.concat(passed);
+			partialEvent = from === data.length ? emptyBuffer : Buffer.from(data.subarray(from));
+			return newEvents.length === 1 ? newEvents[0]! : Buffer.concat(newEvents);
 		},
-		restart() {
-			rest = nothing;
+		discardPartialEvent() {
+			partialEvent = emptyBuffer;
 		},
 		lastEventId: () => lastId,
-		hasPartialEvent: () => rest.length > 0,
+		hasPartialEvent: () => partialEvent.length > 0,
 	};
 }
 
 /**
-Id of an event; `undefined` when it has none.
+Returns the id of an event; `undefined` when it has none.
 */
 function readEventId(event: Uint8Array): number | undefined {
 	return readLeadingId(event) ?? readIdAnywhere(event);
 }
 
 /**
-Reads `id: 12` at the beginning of an event, without making text of the whole event.
+Reads `id: 12` at the beginning of an event without decoding the whole event as text.
 */
 function readLeadingId(event: Uint8Array): number | undefined {
-	if (idLead.some((byte, index) => event[index] !== byte)) {
+	if (idPrefix.some((byte, index) => event[index] !== byte)) {
 		return undefined;
 	}
 
 	let id = 0;
-	for (let index = idLead.length; event[index] !== lineEnd; index++) {
+	for (let index = idPrefix.length; event[index] !== lineEnd; index++) {
 		const digit = (event[index] ?? 0) - digitZero;
-		if (!(digit >= 0 && digit < base)) {
+		if (!(digit >= 0 && digit < decimalBase)) {
 			return undefined;
 		}
 
-		id = (id * base) + digit;
+		id = (id * decimalBase) + digit;
 	}
 
-	return event[idLead.length] === lineEnd ? undefined : id;
+	return event[idPrefix.length] === lineEnd ? undefined : id;
 }
 
 function readIdAnywhere(event: Uint8Array): number | undefined {
--- a/gateway/exchange/src/create-exchange-client.ts
+++ b/gateway/exchange/src/create-exchange-client.ts
@@ -8,7 +8,7 @@
 import type {ExchangeRequest} from './exchange-request.ts';
 
 /**
- Creates the client for exchanges with endpoints.
+ Creates the HTTP client that sends requests to endpoints.
 
  @example
  const client = createExchangeClient({connectMs: 500, keepAliveMs: 4000});
@@ -34,17 +34,17 @@
 		hasIdle: address => pools.get(address)?.hasIdle() === true,
 		send({address, method, path, headers, body, canSend}: ExchangeRequest, listener: ExchangeListener) {
 			const pool = getPool(address);
-			const connection = pool.take();
+			const connection = pool.acquire();
 			let controller: Dispatcher.DispatchController | undefined;
 			let wasSent = false;
-			let isOver = false;
+			let hasEnded = false;
 			connection.dispatch({
 				method, path, headers, body: body === undefined || body.length === 0 ? null : body,
 			}, {
 				onRequestStart(started) {
 					controller = started;
-					if (isOver || canSend?.() === false) {
-						started.abort(new Error('held back'));
+					if (hasEnded || canSend?.() === false) {
+						started.abort(new Error('cancelled before sending'));
 						return;
 					}
 
@@ -52,41 +52,41 @@
 					listener.onSent();
 				},
 				onResponseStart(_controller, status, responseHeaders) {
-					if (!isOver && status >= 200) {
+					if (!hasEnded && status >= 200) {
 						listener.onHead(status, responseHeaders);
 					}
 				},
 				onResponseData(current, chunk) {
-					if (!isOver && listener.onData(chunk) === 'pause') {
+					if (!hasEnded && listener.onData(chunk) === 'pause') {
 						current.pause();
 					}
 				},
 				onResponseEnd() {
-					pool.giveBack(connection);
-					if (isOver) {
+					pool.release(connection);
+					if (hasEnded) {
 						return;
 					}
 
-					isOver = true;
+					hasEnded = true;
 					listener.onEnd();
 				},
 				onResponseError(_controller, cause) {
-					pool.drop(connection);
-					if (isOver) {
+					pool.closeFailed(connection);
+					if (hasEnded) {
 						return;
 					}
 
-					isOver = true;
+					hasEnded = true;
 					listener.onFailure(new ValvesaddleError(wasSent ? 'ERR_VALVESADDLE_ENDPOINT_FAILED' : 'ERR_VALVESADDLE_ENDPOINT_NOT_RUN', cause.message, {cause}));
 				},
 			});
 			return {
 				abort() {
-					if (isOver) {
+					if (hasEnded) {
 						return;
 					}
 
-					isOver = true;
+					hasEnded = true;
 					controller?.abort(new Error('aborted'));
 				},
 				resume() {
--- a/gateway/exchange/src/create-strict-connector.ts
+++ b/gateway/exchange/src/create-strict-connector.ts
@@ -1,13 +1,13 @@
 import {buildConnector} from 'undici';
 
 /**
-The code under which a reset is passed on.
+Error code that replaces `ECONNRESET`.
 */
 const resetCode = 'ERR_CONNECTION_RESET';
 
 /**
- Creates a connector whose connections tell a reset from an end. The HTTP client takes `ECONNRESET` within an answer
- without length for the answer's end, as some systems report it so; here a reset always breaks the answer off.
+ Creates a connector that reports a connection reset as an error. undici treats `ECONNRESET` as the normal end of a response
+ that has no length, so a truncated response would look complete.
 
  @example
  const pool = new Pool(origin, {connect: createStrictConnector({timeout: 400})});
--- a/gateway/exchange/src/event-stream-filter.ts
+++ b/gateway/exchange/src/event-stream-filter.ts
@@ -1,21 +1,21 @@
 /**
-Passes on whole events of a stream, each once, over several runs of one request.
+Forwards complete server-sent events, each once, across several runs of one request. Events without an id are always forwarded.
 */
 export type EventStreamFilter = {
 	/**
-	Takes in a piece of a stream; returns the whole events in it that were not passed on before.
+	Adds a chunk of the stream and returns the complete events that were not forwarded before.
 	*/
 	readonly push: (chunk: Uint8Array) => Uint8Array;
 	/**
-	A new run begins: a half event of the one before is dropped.
+	Discards the incomplete event of a run that failed.
 	*/
-	readonly restart: () => void;
+	readonly discardPartialEvent: () => void;
 	/**
-	Id of the last event that was passed on; -1 before the first.
+	Id of the last event that was forwarded; before that, the id that the filter was created with.
 	*/
 	readonly lastEventId: () => number;
 	/**
-	Whether a half event is held.
+	Whether an incomplete event is buffered.
 	*/
 	readonly hasPartialEvent: () => boolean;
 };
--- a/gateway/exchange/src/exchange-client-options.ts
+++ b/gateway/exchange/src/exchange-client-options.ts
@@ -3,15 +3,15 @@
 */
 export type ExchangeClientOptions = {
 	/**
-	How long a new connection may take.
+	Timeout for opening a connection.
 	*/
 	readonly connectMs: number;
 	/**
-	How long an idle connection is kept when the endpoint does not say.
+	Keep-alive timeout of an idle connection when the endpoint sends none.
 	*/
 	readonly keepAliveMs: number;
 	/**
-	Called for each connection that is opened.
+	Called for each new connection.
 	*/
 	readonly onConnect?: () => void;
 };
--- a/gateway/exchange/src/exchange-client.ts
+++ b/gateway/exchange/src/exchange-client.ts
@@ -3,16 +3,16 @@
 import type {ExchangeRequest} from './exchange-request.ts';
 
 /**
-Keeps connections to endpoints and sends requests over them, one at a time on each.
+Sends requests to endpoints over pooled connections, one at a time on each.
 */
 export type ExchangeClient = {
 	/**
-	Whether a request to an address would find an open connection.
+	Whether an idle connection to the address is open.
 	*/
 	readonly hasIdle: (address: string) => boolean;
 	readonly send: (request: ExchangeRequest, listener: ExchangeListener) => Exchange;
 	/**
-	Closes the connections to an address once their exchanges have ended.
+	Closes idle connections to an address now, and busy ones when their exchanges have ended.
 	*/
 	readonly closeAddress: (address: string) => void;
 	readonly close: () => Promise<void>;
--- a/gateway/exchange/src/exchange-listener.ts
+++ b/gateway/exchange/src/exchange-listener.ts
@@ -3,24 +3,24 @@
 import type {Flow} from './flow.ts';
 
 /**
-Is told what happens to an exchange. `onEnd` or `onFailure` comes last, and only one of them.
+Callbacks of an exchange. Exactly one of `onEnd` and `onFailure` is called, as the last one, unless the exchange is aborted.
 */
 export type ExchangeListener = {
 	/**
-	The first byte is about to go out: from here on the request may run.
+	Called just before the first byte is sent. From here on the endpoint may run the request.
 	*/
 	readonly onSent: () => void;
 	readonly onHead: (status: number, headers: IncomingHttpHeaders) => void;
 	/**
-	A piece of the body; `pause` asks for no more until `resume` is called.
+	Called with each chunk of the body; return `pause` to receive no more until `resume` is called.
 	*/
 	readonly onData: (chunk: Uint8Array) => Flow;
 	/**
-	The answer is whole.
+	The response is complete.
 	*/
 	readonly onEnd: () => void;
 	/**
-	Errors: `ERR_VALVESADDLE_ENDPOINT_NOT_RUN` when nothing went out, `ERR_VALVESADDLE_ENDPOINT_FAILED` otherwise.
+	Errors: `ERR_VALVESADDLE_ENDPOINT_NOT_RUN` when nothing was sent, `ERR_VALVESADDLE_ENDPOINT_FAILED` otherwise.
 	*/
 	readonly onFailure: (error: ValvesaddleError) => void;
 };
--- a/gateway/exchange/src/exchange-request.ts
+++ b/gateway/exchange/src/exchange-request.ts
@@ -1,5 +1,5 @@
 /**
-A request as it goes out to an endpoint.
+A request to an endpoint.
 */
 export type ExchangeRequest = {
 	/**
@@ -9,12 +9,12 @@
 	readonly method: string;
 	readonly path: string;
 	/**
-	Flat list of names and values.
+	Flat list of alternating names and values.
 	*/
 	readonly headers: string[];
 	readonly body: Uint8Array | undefined;
 	/**
-	Asked once a connection is there, just before the first byte goes out; `false` holds the request back.
+	Called when a connection is open, just before the first byte is sent; `false` cancels the request.
 	*/
 	readonly canSend?: () => boolean;
 };
--- a/gateway/exchange/src/flow.ts
+++ b/gateway/exchange/src/flow.ts
@@ -1,4 +1,4 @@
 /**
-Whether a reader wants more.
+Whether a reader can take more data.
 */
 export type Flow = 'more' | 'pause';
--- a/gateway/exchange/test/event-stream-filter.test.ts
+++ b/gateway/exchange/test/event-stream-filter.test.ts
@@ -9,30 +9,30 @@
 
 const whole = [0, 1, 2, 3, 4, 5].map(id => formatEvent(id)).join('');
 
-test('events come out whole, once and in order, however their bytes are cut', t => {
+test('events are forwarded complete, once and in order, however the stream is split into chunks', t => {
 	fc.assert(fc.property(fc.array(fc.integer({min: 1, max: whole.length - 1}), {maxLength: 12}), cuts => {
-		const relay = createEventStreamFilter(-1);
+		const filter = createEventStreamFilter(-1);
 		const places = [0, ...cuts.toSorted((a, b) => a - b), whole.length];
-		const text = places.slice(1).map((end, index) => String(Buffer.from(relay.push(Buffer.from(whole.slice(places[index], end)))))).join('');
-		return text === whole && relay.lastEventId() === 5 && !relay.hasPartialEvent();
+		const text = places.slice(1).map((end, index) => String(Buffer.from(filter.push(Buffer.from(whole.slice(places[index], end)))))).join('');
+		return text === whole && filter.lastEventId() === 5 && !filter.hasPartialEvent();
 	}));
 	t.end();
 });
 
-test('a second run goes on after the last whole event: a half one is dropped and none comes twice', t => {
+test('a second run continues after the last complete event: a partial one is discarded and none is forwarded twice', t => {
 	fc.assert(fc.property(fc.integer({min: 0, max: whole.length}), fc.integer({min: 0, max: 2}), (cut, again) => {
-		const relay = createEventStreamFilter(-1);
-		const first = String(Buffer.from(relay.push(Buffer.from(whole.slice(0, cut)))));
-		relay.restart();
-		const from = Math.max(0, relay.lastEventId() + 1 - again);
+		const filter = createEventStreamFilter(-1);
+		const first = String(Buffer.from(filter.push(Buffer.from(whole.slice(0, cut)))));
+		filter.discardPartialEvent();
+		const from = Math.max(0, filter.lastEventId() + 1 - again);
 		const rest = [0, 1, 2, 3, 4, 5].slice(from).map(id => formatEvent(id)).join('');
-		return first + String(Buffer.from(relay.push(Buffer.from(rest)))) === whole;
+		return first + String(Buffer.from(filter.push(Buffer.from(rest)))) === whole;
 	}));
 	t.end();
 });
 
-test('a stream that the caller takes up itself goes on after its event', t => {
-	const relay = createEventStreamFilter(3);
-	t.equal(String(Buffer.from(relay.push(Buffer.from(whole)))), formatEvent(4) + formatEvent(5));
+test('a stream that the caller resumes continues after its last event', t => {
+	const filter = createEventStreamFilter(3);
+	t.equal(String(Buffer.from(filter.push(Buffer.from(whole)))), formatEvent(4) + formatEvent(5));
 	t.end();
 });
--- a/gateway/exchange/test/exchange-client.test.ts
+++ b/gateway/exchange/test/exchange-client.test.ts
@@ -60,7 +60,7 @@
 ];
 
 for (const [behaviour, end] of cases) {
-	test(`an endpoint that answers "${behaviour}" ends as ${end}`, async t => {
+	test(`endpoint behaviour "${behaviour}" is reported as ${end}`, async t => {
 		const {endpoint, client} = await startPair(t, behaviours[behaviour]);
 		const outcome = await send(client, endpoint.address);
 		t.equal(outcome.end, end);
@@ -68,13 +68,13 @@
 	});
 }
 
-test('an endpoint that cannot be reached has surely not run the request', async t => {
+test('an unreachable endpoint is reported as not having run the request', async t => {
 	const {endpoint, client} = await startPair(t, behaviours.whole);
 	await endpoint.close();
 	t.match(await send(client, endpoint.address), {end: 'ERR_VALVESADDLE_ENDPOINT_NOT_RUN', wasSent: false});
 });
 
-test('a connection is used again after a whole answer, but not after one byte too many', async t => {
+test('a connection is reused after a complete response, but not after one that is followed by extra bytes', async t => {
 	const {endpoint, client} = await startPair(t, behaviours.whole);
 	await send(client, endpoint.address, 'a');
 	await send(client, endpoint.address, 'b');
@@ -94,14 +94,14 @@
 	}, {
 		onSent: sent.resolve,
 		onHead() {
-			t.fail('nothing is told after an abort');
+			t.fail('no callback after an abort');
 		},
 		onData: () => 'more',
 		onEnd() {
-			t.fail('nothing is told after an abort');
+			t.fail('no callback after an abort');
 		},
 		onFailure() {
-			t.fail('nothing is told after an abort');
+			t.fail('no callback after an abort');
 		},
 	});
 	await sent.promise;
@@ -116,10 +116,10 @@
 	t.equal(endpoint.closedConnections(), 1);
 });
 
-test('a request that is held back once its connection is there reaches nobody, and did not run', async t => {
+test('a request that is cancelled when its connection opens is not sent, and is reported as not run', async t => {
 	const {endpoint, client} = await startPair(t, behaviours.whole);
-	const held = await send(client, endpoint.address, 'a', () => false);
-	t.match(held, {wasSent: false, status: 0, end: 'ERR_VALVESADDLE_ENDPOINT_NOT_RUN'});
+	const cancelled = await send(client, endpoint.address, 'a', () => false);
+	t.match(cancelled, {wasSent: false, status: 0, end: 'ERR_VALVESADDLE_ENDPOINT_NOT_RUN'});
 	t.equal(endpoint.arrived().length, 0);
 	t.match(await send(client, endpoint.address), {wasSent: true, status: 200, end: 'whole'});
 });
--- a/gateway/forwarding/src/verdict.ts
+++ b/gateway/forwarding/src/answer-class.ts
@@ -4,4 +4,4 @@
 over the address, `run-failed` is an endpoint's own failure after
 it ran, and `untrusted` says nothing that holds.
 */
-export type Verdict = 'stream' | 'whole' | 'not-run' | 'misdirected' | 'run-failed' | 'untrusted';
+export type AnswerClass = 'stream' | 'whole' | 'not-run' | 'misdirected' | 'run-failed' | 'untrusted';
--- a/gateway/forwarding/src/answer-writer.ts
+++ b/gateway/forwarding/src/answer-writer.ts
@@ -7,11 +7,11 @@
 	/**
 	Whether the caller has got the head of a stream.
 	*/
-	readonly isBegun: () => boolean;
+	readonly isStarted: () => boolean;
 	/**
 	Begins a stream; later runs go on with it.
 	*/
-	readonly begin: (answer: AttemptAnswer) => void;
+	readonly start: (answer: AttemptAnswer) => void;
 	/**
 	Writes a piece of a stream; `false` while the caller reads more slowly, until `onDrain` is called.
 	*/
@@ -24,11 +24,11 @@
 	/**
 	Whether the run ended within an event.
 	*/
-	readonly hasRest: () => boolean;
+	readonly hasPartialEvent: () => boolean;
 	/**
 	A run has failed: a half event of it is dropped.
 	*/
-	readonly dropRest: () => void;
+	readonly discardPartialEvent: () => void;
 	/**
 	Ends the answer that has come whole.
 	*/
--- a/gateway/forwarding/src/attempt-answer.ts
+++ b/gateway/forwarding/src/attempt-answer.ts
@@ -1,5 +1,5 @@
 import type {IncomingHttpHeaders} from 'node:http';
-import type {Verdict} from './verdict.ts';
+import type {AnswerClass} from './answer-class.ts';
 
 /**
 An endpoint's answer as far as it has come.
@@ -7,7 +7,7 @@
 export type AttemptAnswer = {
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
-	readonly verdict: Verdict;
-	readonly pieces: Uint8Array[];
+	readonly answerClass: AnswerClass;
+	readonly chunks: Uint8Array[];
 	bytes: number;
 };
--- a/gateway/forwarding/src/attempt-events.ts
+++ b/gateway/forwarding/src/attempt-events.ts
@@ -16,11 +16,11 @@
 	/**
 	The request began to run at that time, in milliseconds on the steady clock.
 	*/
-	readonly onBegun: (at: number) => void;
+	readonly onStarted: (at: number) => void;
 	/**
 	A piece of the answer has come.
 	*/
-	readonly onPiece: () => void;
+	readonly onChunk: () => void;
 	/**
 	The caller reads slowly, which says nothing about the endpoint.
 	*/
@@ -28,7 +28,7 @@
 	/**
 	The endpoint will not answer; the attempt goes on until it is ended.
 	*/
-	readonly onLost: (reason: string) => void;
+	readonly onEndpointLost: (reason: string) => void;
 	/**
 	The answer is whole and for the caller.
 	*/
--- a/gateway/forwarding/src/attempt-options.ts
+++ b/gateway/forwarding/src/attempt-options.ts
@@ -2,7 +2,7 @@
 import type {AnswerWriter} from './answer-writer.ts';
 import type {ForwardRequest} from './forward-request.ts';
 import type {ForwarderOptions} from './forwarder-options.ts';
-import type {RequestRecord} from './request-record.ts';
+import type {RequestRecorder} from './request-recorder.ts';
 
 /**
 Options of `createAttempt`.
@@ -16,7 +16,7 @@
 	*/
 	readonly selection: Selection;
 	readonly writer: AnswerWriter;
-	readonly record: RequestRecord;
+	readonly recorder: RequestRecorder;
 	/**
 	Time that is left for the request, in milliseconds.
 	*/
--- a/gateway/forwarding/src/can-repeat.ts
+++ b/gateway/forwarding/src/can-retry.ts
@@ -1,10 +1,10 @@
 import type {Route} from '@valvesaddle/gateway-types';
-import {isRepeatable} from './is-repeatable.ts';
+import {isRetryable} from './is-retryable.ts';
 
 /**
 What has become of a request so far.
 */
-type RepeatQuestion = {
+type RetryState = {
 	readonly route: Route;
 	/**
 	Whether the endpoint that failed may have begun to run it.
@@ -23,6 +23,6 @@
  @example
  canRepeat({route: {...route, kind: 'unsafe'}, mayHaveRun: true, runs: 1}); // false
  */
-export function canRepeat({route, mayHaveRun, runs}: RepeatQuestion): boolean {
-	return runs < Math.max(1, route.maximumAttempts) && (!mayHaveRun || isRepeatable(route));
+export function canRetry({route, mayHaveRun, runs}: RetryState): boolean {
+	return runs < Math.max(1, route.maximumAttempts) && (!mayHaveRun || isRetryable(route));
 }
--- a/gateway/forwarding/src/piece-clock.ts
+++ b/gateway/forwarding/src/chunk-timer.ts
@@ -1,12 +1,12 @@
 /**
 When the pieces of an answer came.
 */
-export type PieceClock = {
+export type ChunkTimer = {
 	readonly record: () => void;
 	/**
 	Pieces so far.
 	*/
-	readonly pieces: () => number;
+	readonly chunks: () => number;
 	/**
 	Milliseconds from the request's arrival to the first piece; `undefined` before it.
 	*/
--- a/gateway/forwarding/src/classify-answer.ts
+++ b/gateway/forwarding/src/classify-answer.ts
@@ -1,5 +1,5 @@
 import type {AnswerFacts} from '@valvesaddle/gateway-types';
-import type {Verdict} from './verdict.ts';
+import type {AnswerClass} from './answer-class.ts';
 
 /**
 Statuses that promise a caller that its request did not run; only an endpoint's explicit mark may bear them out.
@@ -12,7 +12,7 @@
  @example
  classifyAnswer(200, {requestId: 'a', isSigned: true, isNotRun: false, isEventStream: false, isEncoded: false, isMisdirected: false, retryAfterMs: undefined, isLeaving: false}, 'a'); // 'whole'
  */
-export function classifyAnswer(status: number, facts: AnswerFacts, requestId: string | undefined): Verdict {
+export function classifyAnswer(status: number, facts: AnswerFacts, requestId: string | undefined): AnswerClass {
 	if (facts.requestId !== undefined && facts.requestId !== requestId) {
 		return 'untrusted';
 	}
@@ -38,7 +38,7 @@
 	return status < 300 ? classifySuccess(facts) : 'whole';
 }
 
-function classifySuccess({isEncoded, isEventStream}: AnswerFacts): Verdict {
+function classifySuccess({isEncoded, isEventStream}: AnswerFacts): AnswerClass {
 	if (isEncoded) {
 		return 'untrusted';
 	}
--- a/gateway/forwarding/src/create-answer-writer.ts
+++ b/gateway/forwarding/src/create-answer-writer.ts
@@ -20,12 +20,12 @@
  writer.write(chunk);
  */
 export function createAnswerWriter({request: {route, metadata: facts}, reply, wire}: AnswerWriterOptions): AnswerWriter {
-	const relay = route.kind === 'stream' && route.isResumable ? createEventStreamFilter(facts.lastEventId) : undefined;
+	const filter = route.kind === 'stream' && route.isResumable ? createEventStreamFilter(facts.lastEventId) : undefined;
 	let isBegun = false;
 
 	return {
-		isBegun: () => isBegun,
-		begin(answer) {
+		isStarted: () => isBegun,
+		start(answer) {
 			if (isBegun) {
 				return;
 			}
@@ -34,20 +34,20 @@
 			reply.start(answer.status, wire.writeAnswer(answer.headers));
 		},
 		write(chunk) {
-			const bytes = relay === undefined ? chunk : relay.push(chunk);
+			const bytes = filter === undefined ? chunk : filter.push(chunk);
 			return bytes.length === 0 || reply.write(bytes);
 		},
 		onDrain: reply.onDrain,
-		lastEventId: () => isBegun ? relay?.lastEventId() ?? -1 : -1,
-		hasRest: () => relay?.hasPartialEvent() === true,
-		dropRest() {
-			relay?.restart();
+		lastEventId: () => isBegun ? filter?.lastEventId() ?? -1 : -1,
+		hasPartialEvent: () => filter?.hasPartialEvent() === true,
+		discardPartialEvent() {
+			filter?.discardPartialEvent();
 		},
 		end(answer) {
-			if (answer.verdict === 'stream') {
+			if (answer.answerClass === 'stream') {
 				reply.end();
 			} else {
-				reply.answer(answer.status, wire.writeAnswer(answer.headers), Buffer.concat(answer.pieces));
+				reply.answer(answer.status, wire.writeAnswer(answer.headers), Buffer.concat(answer.chunks));
 			}
 		},
 	};
--- a/gateway/forwarding/src/create-attempt.ts
+++ b/gateway/forwarding/src/create-attempt.ts
@@ -10,7 +10,7 @@
 /**
 Largest answer that is held until it is whole, in bytes.
 */
-const largestWholeBytes = 8 * 1024 * 1024;
+const maximumBufferedBytes = 8 * 1024 * 1024;
 
 /**
  Sends a request to the endpoint that was chosen, writes what is a stream to the caller, and tells what became of it.
@@ -19,30 +19,30 @@
  const attempt = createAttempt({tools, request, question, selection, writer, record, remainingMs: 4000}, events);
  attempt.end('cancelled');
  */
-export function createAttempt({tools, request, question, selection, writer, record, remainingMs}: AttemptOptions, events: AttemptEvents): Attempt {
+export function createAttempt({tools, request, question, selection, writer, recorder: record, remainingMs}: AttemptOptions, events: AttemptEvents): Attempt {
 	const {selector, exchanges, wire} = tools;
 	const {metadata: facts} = request;
 	const {endpoint} = selection;
-	const work = selector.open(selection, question);
+	const openRequest = selector.open(selection, question);
 	let answer: AttemptAnswer | undefined;
 	let sentAt: number | undefined;
 
-	work.onSilent(() => {
-		events.onLost('silent to all nodes');
+	openRequest.onSilent(() => {
+		events.onEndpointLost('silent to all nodes');
 	});
-	work.onEnded(() => {
-		events.onLost('its process has ended');
+	openRequest.onEnded(() => {
+		events.onEndpointLost('its process has ended');
 	});
 
 	function end(outcome: 'failed' | 'cancelled'): void {
 		exchange.abort();
-		work.close(outcome);
+		openRequest.close(outcome);
 	}
 
 	/**
 	Ends an attempt whose answer cannot be used, though the endpoint goes on with it.
 	*/
-	function endUnusable(reason: string): void {
+	function failAttempt(reason: string): void {
 		end('failed');
 		events.onFailure({reason, mayHaveRun: true});
 	}
@@ -61,53 +61,53 @@
 		record.recordNotice(endpoint, status, notice);
 	}
 
-	function takeData(taken: AttemptAnswer, chunk: Uint8Array): Flow {
-		if (taken.verdict === 'stream') {
-			return writePiece(chunk);
+	function handleData(current: AttemptAnswer, chunk: Uint8Array): Flow {
+		if (current.answerClass === 'stream') {
+			return writeChunk(chunk);
 		}
 
-		taken.bytes += chunk.length;
-		if (taken.bytes > largestWholeBytes) {
-			endUnusable(`answer of over ${largestWholeBytes} bytes`);
+		current.bytes += chunk.length;
+		if (current.bytes > maximumBufferedBytes) {
+			failAttempt(`answer of over ${maximumBufferedBytes} bytes`);
 			return 'more';
 		}
 
-		taken.pieces.push(chunk);
+		current.chunks.push(chunk);
 		return 'more';
 	}
 
-	function writePiece(chunk: Uint8Array): Flow {
+	function writeChunk(chunk: Uint8Array): Flow {
 		if (writer.write(chunk)) {
 			return 'more';
 		}
 
 		events.onPaused();
-		work.markPaused();
+		openRequest.markPaused();
 		writer.onDrain(() => {
 			exchange.resume();
 		});
 		return 'pause';
 	}
 
-	function handleEnd(whole: AttemptAnswer): void {
-		const {verdict, status} = whole;
+	function handleEnd(completed: AttemptAnswer): void {
+		const {answerClass: verdict, status} = completed;
 		if (verdict === 'not-run' || verdict === 'misdirected') {
-			work.close(verdict === 'misdirected' ? 'gone' : 'rejected');
+			openRequest.close(verdict === 'misdirected' ? 'gone' : 'rejected');
 			events.onNotRun();
 			events.onFailure({reason: `refused with ${status}`, mayHaveRun: false});
 		} else if (verdict === 'run-failed') {
-			work.close('failed');
-			events.onFailure({reason: `failed with ${status}`, mayHaveRun: true, answer: whole});
-		} else if (verdict === 'stream' && writer.hasRest()) {
-			work.close('failed');
+			openRequest.close('failed');
+			events.onFailure({reason: `failed with ${status}`, mayHaveRun: true, answer: completed});
+		} else if (verdict === 'stream' && writer.hasPartialEvent()) {
+			openRequest.close('failed');
 			events.onFailure({reason: 'the stream ended within an event', mayHaveRun: true});
-		} else if (verdict === 'whole' && writer.isBegun()) {
+		} else if (verdict === 'whole' && writer.isStarted()) {
 			// The caller has the head of a stream already, which nothing but a stream can go on with.
-			work.close('failed');
+			openRequest.close('failed');
 			events.onFailure({reason: `a stream went on as a whole answer ${status}`, mayHaveRun: true});
 		} else {
-			work.close('done');
-			events.onAnswer(whole);
+			openRequest.close('done');
+			events.onAnswer(completed);
 		}
 	}
 
@@ -137,43 +137,43 @@
 			events.onSent();
 		},
 		onHead(status, headers) {
-			const said = wire.readAnswer(status, headers);
-			applyNotice(status, said);
-			const verdict = classifyAnswer(status, said, facts.requestId);
+			const answerMetadata = wire.readAnswer(status, headers);
+			applyNotice(status, answerMetadata);
+			const verdict = classifyAnswer(status, answerMetadata, facts.requestId);
 			answer = {
-				status, headers, verdict, pieces: [], bytes: 0,
+				status, headers, answerClass: verdict, chunks: [], bytes: 0,
 			};
 			if (verdict === 'stream') {
-				writer.begin(answer);
+				writer.start(answer);
 			} else if (verdict === 'untrusted') {
 				// What follows on the connection cannot be told apart from other answers.
-				endUnusable(`untrusted answer ${status}`);
+				failAttempt(`untrusted answer ${status}`);
 			}
 		},
 		onData(chunk) {
-			work.markPiece();
-			record.recordPiece();
-			if (answer?.verdict === 'stream') {
-				events.onBegun(performance.now());
+			openRequest.markPiece();
+			record.recordChunk();
+			if (answer?.answerClass === 'stream') {
+				events.onStarted(performance.now());
 			}
 
-			events.onPiece();
-			return answer === undefined ? 'more' : takeData(answer, chunk);
+			events.onChunk();
+			return answer === undefined ? 'more' : handleData(answer, chunk);
 		},
 		onEnd() {
 			if (answer === undefined) {
 				return;
 			}
 
-			if (sentAt !== undefined && (answer.verdict === 'whole' || answer.verdict === 'run-failed')) {
-				events.onBegun(sentAt);
+			if (sentAt !== undefined && (answer.answerClass === 'whole' || answer.answerClass === 'run-failed')) {
+				events.onStarted(sentAt);
 			}
 
 			handleEnd(answer);
 		},
 		onFailure(error) {
 			const wasSent = sentAt !== undefined;
-			work.close(wasSent ? 'failed' : classifyUnsent());
+			openRequest.close(wasSent ? 'failed' : classifyUnsent());
 			events.onFailure({reason: error.message, mayHaveRun: wasSent});
 		},
 	});
--- a/gateway/forwarding/src/create-piece-clock.ts
+++ b/gateway/forwarding/src/create-chunk-timer.ts
@@ -1,5 +1,5 @@
 import type {Metrics} from '@valvesaddle/metrics';
-import type {PieceClock} from './piece-clock.ts';
+import type {ChunkTimer} from './chunk-timer.ts';
 
 /**
  Creates the clock of an answer's pieces.
@@ -9,7 +9,7 @@
  clock.record();
  clock.longestPauseMs(); // 0
  */
-export function createPieceClock(arrivedAt: number, metrics: Metrics): PieceClock {
+export function createChunkTimer(arrivedAt: number, metrics: Metrics): ChunkTimer {
 	let firstMs: number | undefined;
 	let lastAt = 0;
 	let longestPauseMs = 0;
@@ -29,7 +29,7 @@
 
 			lastAt = now;
 		},
-		pieces: () => pieces,
+		chunks: () => pieces,
 		firstMs: () => firstMs,
 		longestPauseMs: () => Math.round(longestPauseMs),
 	};
--- a/gateway/forwarding/src/create-forward-task.ts
+++ b/gateway/forwarding/src/create-forward-task.ts
@@ -4,24 +4,24 @@
 import type {AttemptEvents} from './attempt-events.ts';
 import type {AttemptFailure} from './attempt-failure.ts';
 import type {Attempt} from './attempt.ts';
-import {canRepeat} from './can-repeat.ts';
+import {canRetry} from './can-retry.ts';
 import {createAdmitter} from './create-admitter.ts';
 import {createAnswerWriter} from './create-answer-writer.ts';
 import {createAttempt} from './create-attempt.ts';
-import {createPatience} from './create-patience.ts';
+import {createProgressTimer} from './create-progress-timer.ts';
 import {createRefusals} from './create-refusals.ts';
-import {createRequestRecord} from './create-request-record.ts';
+import {createRequestRecorder} from './create-request-recorder.ts';
 import type {ForwardTask} from './forward-task.ts';
 import type {ForwardTaskOptions} from './forward-task-options.ts';
 import type {ForwarderOptions} from './forwarder-options.ts';
-import {getPatience} from './get-patience.ts';
-import {isRepeatable} from './is-repeatable.ts';
+import {getProgressTimeouts} from './get-progress-timeouts.ts';
+import {isRetryable} from './is-retryable.ts';
 import {rankUrgency} from './rank-urgency.ts';
 
 /**
 Endpoints that may refuse or be unreachable, one after the other, before the caller is told so.
 */
-const mostTries = 5;
+const maximumTriedEndpoints = 5;
 /**
  Starts to carry a request to one final answer. The task owns its timers and the exchange that is under way.
 
@@ -29,14 +29,14 @@
  const task = createForwardTask(options, {request, reply, onOver() {}});
  task.cancel();
  */
-export function createForwardTask(options: ForwarderOptions, {request, reply, onOver}: ForwardTaskOptions): ForwardTask {
+export function createForwardTask(options: ForwarderOptions, {request, reply, onEnd: onOver}: ForwardTaskOptions): ForwardTask {
 	const {selector, wire, metrics} = options;
 	const {metadata: facts, route} = request;
 	const waitMs = Math.min(route.timeoutMs, facts.waitMs ?? Infinity);
 	const deadlineAt = request.arrivedAt + waitMs;
 	const writer = createAnswerWriter({request, reply, wire});
 	const admitter = createAdmitter(options, request, waitMs);
-	const record = createRequestRecord(options, request);
+	const record = createRequestRecorder(options, request);
 	const refusals = createRefusals(selector, request.pool);
 	const tried = new Set<string>();
 	const question: SelectionQuestion = {
@@ -48,66 +48,66 @@
 		parts: facts.parts,
 		tried,
 	};
-	const isMovable = isRepeatable(route);
-	const {pauseMs} = getPatience(route, 0);
-	const patience = createPatience(milliseconds => {
-		if (!canRepeat({route, mayHaveRun: true, runs}) || selector.choose(question) === undefined) {
+	const isRequestRetryable = isRetryable(route);
+	const {pauseMs} = getProgressTimeouts(route, 0);
+	const progressTimer = createProgressTimer(milliseconds => {
+		if (!canRetry({route, mayHaveRun: true, runs}) || selector.choose(question) === undefined) {
 			return;
 		}
 
 		endAttempt('failed');
 		handleFailure({reason: `silent for ${Math.round(milliseconds)} ms`, mayHaveRun: true});
 	});
-	let tries = 0;
+	let attempts = 0;
 	let runs = 0;
-	let arrivals = 0;
-	let isOver = false;
+	let sends = 0;
+	let hasEnded = false;
 	let attempt: Attempt | undefined;
-	let isBegun = false;
+	let isStarted = false;
 
 	const events: AttemptEvents = {
 		onSent() {
 			runs++;
-			arrivals++;
+			sends++;
 		},
 		onNotRun() {
 			runs--;
 		},
-		onBegun: markBegun,
-		onPiece() {
+		onStarted: markStarted,
+		onChunk() {
 			if (route.kind === 'stream') {
-				startPatience(pauseMs);
+				startProgressTimer(pauseMs);
 			}
 		},
-		onPaused: patience.stop,
-		onLost: moveElsewhere,
+		onPaused: progressTimer.stop,
+		onEndpointLost: handleEndpointLost,
 		onAnswer: answerCaller,
 		onFailure: handleFailure,
 	};
 	const timer = setTimeout(handleDeadline, Math.max(0, deadlineAt - performance.now()));
 
 	function closeTask(outcome: string, status: number): void {
-		isOver = true;
+		hasEnded = true;
 		clearTimeout(timer);
-		patience.stop();
-		record.recordEnd(outcome, status, {tries, runs});
+		progressTimer.stop();
+		record.recordEnd(outcome, status, {tries: attempts, runs});
 		onOver();
 	}
 
 	/**
 	A request begins to run once, however often it is sent: a stream with its first event, any other when it was sent.
 	*/
-	function markBegun(at: number): void {
-		if (isBegun) {
+	function markStarted(at: number): void {
+		if (isStarted) {
 			return;
 		}
 
-		isBegun = true;
+		isStarted = true;
 		options.onStarted?.(request.account?.name ?? '', at);
 	}
 
 	function refuse(error: ValvesaddleError): void {
-		if (writer.isBegun()) {
+		if (writer.isStarted()) {
 			closeTask('broken-off', 0);
 			reply.abort();
 			return;
@@ -125,17 +125,17 @@
 	/**
 	Gives an endpoint some time for its next byte; a request that may be repeated then goes elsewhere.
 	*/
-	function startPatience(milliseconds: number): void {
-		if (isMovable) {
-			patience.start(milliseconds);
+	function startProgressTimer(milliseconds: number): void {
+		if (isRequestRetryable) {
+			progressTimer.start(milliseconds);
 		}
 	}
 
 	/**
 	The endpoint will not answer: a request that may be repeated goes elsewhere at once.
 	*/
-	function moveElsewhere(reason: string): void {
-		if (!canRepeat({route, mayHaveRun: true, runs}) || selector.choose(question) === undefined) {
+	function handleEndpointLost(reason: string): void {
+		if (!canRetry({route, mayHaveRun: true, runs}) || selector.choose(question) === undefined) {
 			return;
 		}
 
@@ -144,37 +144,37 @@
 	}
 
 	function endAttempt(end: 'failed' | 'cancelled'): void {
-		patience.stop();
+		progressTimer.stop();
 		attempt?.end(end);
 		attempt = undefined;
 	}
 
 	function startAttempt(): void {
-		const askedAt = performance.now();
-		const selection = tries < mostTries ? selector.choose(question) : undefined;
-		metrics.timing('gateway.decision', performance.now() - askedAt);
+		const startedAt = performance.now();
+		const selection = attempts < maximumTriedEndpoints ? selector.choose(question) : undefined;
+		metrics.timing('gateway.decision', performance.now() - startedAt);
 		if (selection === undefined) {
-			record.recordNoEndpoint(tries, selector.getCooldownMs(request.pool));
-			refuse(refusals.buildNoEndpoint(tries));
+			record.recordNoEndpoint(attempts, selector.getCooldownMs(request.pool));
+			refuse(refusals.buildNoEndpoint(attempts));
 			return;
 		}
 
-		const admission = admitter.decide(selection, tries > 0);
+		const admission = admitter.decide(selection, attempts > 0);
 		if (admission.kind === 'refuse') {
 			refuse(refusals.buildOverloaded(selection.costMs, admission.retryAfterMs));
 		} else {
-			openAt(admission.kind === 'send-late' ? selector.choose({...question, urgency: rankUrgency(route, request.account, true)}) ?? selection : selection);
+			sendTo(admission.kind === 'send-late' ? selector.choose({...question, urgency: rankUrgency(route, request.account, true)}) ?? selection : selection);
 		}
 	}
 
-	function openAt(selection: Selection): void {
-		tries++;
+	function sendTo(selection: Selection): void {
+		attempts++;
 		tried.add(selection.endpoint.incarnation);
 		const remainingMs = deadlineAt - performance.now();
-		record.recordSent(selection, tries, remainingMs);
-		startPatience(getPatience(route, request.isEnginePool ? selection.costMs : 0).firstMs);
+		record.recordSent(selection, attempts, remainingMs);
+		startProgressTimer(getProgressTimeouts(route, request.isEnginePool ? selection.costMs : 0).firstByteMs);
 		attempt = createAttempt({
-			tools: options, request, question, selection, writer, record, remainingMs,
+			tools: options, request, question, selection, writer, recorder: record, remainingMs,
 		}, events);
 	}
 
@@ -186,16 +186,16 @@
 	}
 
 	function handleFailure(failure: AttemptFailure): void {
-		patience.stop();
+		progressTimer.stop();
 		attempt = undefined;
-		writer.dropRest();
+		writer.discardPartialEvent();
 		// An attempt that never arrived takes nothing from the budget.
-		const isAllowed = canRepeat({route, mayHaveRun: failure.mayHaveRun, runs});
-		const isRetried = isAllowed && (arrivals === 0 || options.budget.spend(request.pool));
-		record.recordFailure(failure, tries, isRetried);
+		const isAllowed = canRetry({route, mayHaveRun: failure.mayHaveRun, runs});
+		const isRetried = isAllowed && (sends === 0 || options.budget.spend(request.pool));
+		record.recordFailure(failure, attempts, isRetried);
 		if (isRetried) {
 			startAttempt();
-		} else if (failure.answer !== undefined && !writer.isBegun()) {
+		} else if (failure.answer !== undefined && !writer.isStarted()) {
 			answerCaller(failure.answer);
 		} else {
 			refuse(refusals.buildFailure(failure.reason, runs > 0));
@@ -206,7 +206,7 @@
 
 	return {
 		cancel() {
-			if (isOver) {
+			if (hasEnded) {
 				return;
 			}
 
--- a/gateway/forwarding/src/create-forwarder.ts
+++ b/gateway/forwarding/src/create-forwarder.ts
@@ -19,7 +19,7 @@
 			return createForwardTask(options, {
 				request,
 				reply,
-				onOver() {
+				onEnd() {
 					open--;
 				},
 			});
--- a/gateway/forwarding/src/create-patience.ts
+++ b/gateway/forwarding/src/create-progress-timer.ts
@@ -1,55 +1,55 @@
-import type {Patience} from './patience.ts';
+import type {ProgressTimer} from './progress-timer.ts';
 
 /**
  Creates a wait for the next sign of life. It sets one timer for a whole wait, however many signs come meanwhile: a stream brings
  one with each of its events.
 
- @param onOver - Is told, with the milliseconds that were waited, when no sign has come.
+ @param onTimeout - Is told, with the milliseconds that were waited, when no sign has come.
  @example
  const patience = createPatience(milliseconds => console.log(`silent for ${milliseconds} ms`));
  patience.start(700);
  */
-export function createPatience(onOver: (milliseconds: number) => void): Patience {
-	let lengthMs = 0;
-	let dueAt = Infinity;
+export function createProgressTimer(onTimeout: (milliseconds: number) => void): ProgressTimer {
+	let timeoutMs = 0;
+	let expiresAt = Infinity;
 	let timer: NodeJS.Timeout | undefined;
 	let timerAt = Infinity;
 
 	function setTimer(now: number): void {
 		clearTimeout(timer);
-		timerAt = dueAt;
-		timer = setTimeout(check, dueAt - now);
+		timerAt = expiresAt;
+		timer = setTimeout(check, expiresAt - now);
 	}
 
 	function check(): void {
 		timerAt = Infinity;
-		if (dueAt === Infinity) {
+		if (expiresAt === Infinity) {
 			return;
 		}
 
 		const now = performance.now();
-		if (now < dueAt) {
+		if (now < expiresAt) {
 			setTimer(now);
 			return;
 		}
 
-		dueAt = Infinity;
-		onOver(lengthMs);
+		expiresAt = Infinity;
+		onTimeout(timeoutMs);
 	}
 
 	return {
 		start(milliseconds) {
 			const now = performance.now();
-			lengthMs = milliseconds;
-			dueAt = now + milliseconds;
-			if (dueAt < timerAt) {
+			timeoutMs = milliseconds;
+			expiresAt = now + milliseconds;
+			if (expiresAt < timerAt) {
 				setTimer(now);
 			}
 		},
 		stop() {
 			clearTimeout(timer);
 			timerAt = Infinity;
-			dueAt = Infinity;
+			expiresAt = Infinity;
 		},
 	};
 }
--- a/gateway/forwarding/src/create-request-record.ts
+++ b/gateway/forwarding/src/create-request-recorder.ts
@@ -1,7 +1,7 @@
-import {createPieceClock} from './create-piece-clock.ts';
+import {createChunkTimer} from './create-chunk-timer.ts';
 import type {ForwardRequest} from './forward-request.ts';
 import type {ForwarderOptions} from './forwarder-options.ts';
-import type {RequestRecord} from './request-record.ts';
+import type {RequestRecorder} from './request-recorder.ts';
 
 /**
  Creates the record of one request.
@@ -10,10 +10,10 @@
  const record = createRequestRecord(options, request);
  record.recordEnd('answered', 200, {tries: 1, runs: 1});
  */
-export function createRequestRecord({logger, metrics}: Pick<ForwarderOptions, 'logger' | 'metrics'>, request: ForwardRequest): RequestRecord {
+export function createRequestRecorder({logger, metrics}: Pick<ForwarderOptions, 'logger' | 'metrics'>, request: ForwardRequest): RequestRecorder {
 	const {metadata: facts, route, pool} = request;
 	const id = facts.requestId ?? '-';
-	const clock = createPieceClock(request.arrivedAt, metrics);
+	const chunkTimer = createChunkTimer(request.arrivedAt, metrics);
 
 	return {
 		recordSent({endpoint, costMs, heldTokens, harmMs, urgency, candidates, newsAgeMs, unseenFactor}, attempt, remainingMs) {
@@ -52,13 +52,13 @@
 				name: 'no-endpoint', request: id, pool, tries, cooldownMs: Math.round(cooldownMs),
 			});
 		},
-		recordPiece: clock.record,
+		recordChunk: chunkTimer.record,
 		recordEnd(outcome, status, {tries, runs}) {
 			const elapsedMs = Math.round(performance.now() - request.arrivedAt);
 			metrics.increment('gateway.ended', 1, {outcome});
 			metrics.timing('gateway.total', elapsedMs);
 			logger.info({
-				name: 'request-ended', request: id, route: route.name, outcome, status, elapsedMs, firstByteMs: clock.firstMs(), longestPauseMs: clock.longestPauseMs(), pieces: clock.pieces(), tries, runs,
+				name: 'request-ended', request: id, route: route.name, outcome, status, elapsedMs, firstByteMs: chunkTimer.firstMs(), longestPauseMs: chunkTimer.longestPauseMs(), pieces: chunkTimer.chunks(), tries, runs,
 			});
 		},
 	};
--- a/gateway/forwarding/src/forward-task-options.ts
+++ b/gateway/forwarding/src/forward-task-options.ts
@@ -7,5 +7,5 @@
 export type ForwardTaskOptions = {
 	readonly request: ForwardRequest;
 	readonly reply: Reply;
-	readonly onOver: () => void;
+	readonly onEnd: () => void;
 };
--- a/gateway/forwarding/src/get-patience.ts
+++ b/gateway/forwarding/src/get-progress-timeouts.ts
@@ -11,14 +11,14 @@
 /**
 Pauses within a stream, in pause objectives and in milliseconds, after which its endpoint is taken for stuck.
 */
-const pauseFactor = 4;
-const leastPauseMs = 700;
+const pauseTimeoutFactor = 4;
+const minimumPauseTimeoutMs = 700;
 
 /**
 How long an endpoint may be silent, in milliseconds, before a request that may be repeated goes elsewhere.
 */
-type Patience = {
-	readonly firstMs: number;
+type ProgressTimeouts = {
+	readonly firstByteMs: number;
 	readonly pauseMs: number;
 };
 
@@ -30,9 +30,9 @@
  @example
  getPatience({...route, latencyObjectiveMs: 300}, 0).firstMs; // 180
  */
-export function getPatience(route: Route, predictedMs: number): Patience {
+export function getProgressTimeouts(route: Route, predictedMs: number): ProgressTimeouts {
 	return {
-		firstMs: Math.max(objectiveShare * route.latencyObjectiveMs, predictedFactor * predictedMs),
-		pauseMs: Math.max(leastPauseMs, pauseFactor * route.pauseObjectiveMs),
+		firstByteMs: Math.max(objectiveShare * route.latencyObjectiveMs, predictedFactor * predictedMs),
+		pauseMs: Math.max(minimumPauseTimeoutMs, pauseTimeoutFactor * route.pauseObjectiveMs),
 	};
 }
--- a/gateway/forwarding/src/is-repeatable.ts
+++ b/gateway/forwarding/src/is-retryable.ts
@@ -6,6 +6,6 @@
  @example
  isRepeatable({...route, kind: 'unsafe'}); // false
  */
-export function isRepeatable(route: Route): boolean {
+export function isRetryable(route: Route): boolean {
 	return route.kind === 'safe' || (route.kind === 'stream' && route.isResumable);
 }
--- a/gateway/forwarding/src/patience.ts
+++ b/gateway/forwarding/src/progress-timer.ts
@@ -1,7 +1,7 @@
 /**
 Waits for a sign of life, and is told of each one.
 */
-export type Patience = {
+export type ProgressTimer = {
 	/**
 	Begins to wait anew, for so many milliseconds.
 	*/
--- a/gateway/forwarding/src/rank-urgency.ts
+++ b/gateway/forwarding/src/rank-urgency.ts
@@ -3,7 +3,7 @@
 /**
 Ranks within one rank of routes: two of client accounts, and the last for requests that cannot be in time.
 */
-const ranks = 3;
+const ranksPerPriority = 3;
 
 /**
  Rank of a request at an endpoint, 0 first: by its route, and by the client account among requests of equal routes. By the
@@ -16,5 +16,5 @@
  rankUrgency({...route, priority: 2}, {name: 'sawmill', keyHashes: [], priority: 1}, false); // 7
  */
 export function rankUrgency(route: Route, account: GatewayAccount | undefined, isLate: boolean): number {
-	return (route.priority * ranks) + (isLate ? ranks - 1 : Math.min(ranks - 2, account?.priority ?? 0));
+	return (route.priority * ranksPerPriority) + (isLate ? ranksPerPriority - 1 : Math.min(ranksPerPriority - 2, account?.priority ?? 0));
 }
--- a/gateway/forwarding/src/request-record.ts
+++ b/gateway/forwarding/src/request-recorder.ts
@@ -10,7 +10,7 @@
 /**
 Lines and figures of one request.
 */
-export type RequestRecord = {
+export type RequestRecorder = {
 	/**
 	The request goes to an endpoint, as its `attempt`-th try.
 	*/
@@ -21,7 +21,7 @@
 	No endpoint is left; `cooldownMs` until the first takes requests again.
 	*/
 	readonly recordNoEndpoint: (tries: number, cooldownMs: number) => void;
-	readonly recordPiece: () => void;
+	readonly recordChunk: () => void;
 	/**
 	The one final outcome, with the status that the caller got.
 	*/
--- a/gateway/forwarding/test/decisions.test.ts
+++ b/gateway/forwarding/test/decisions.test.ts
@@ -4,9 +4,9 @@
 import {createMetrics} from '@valvesaddle/metrics';
 import type {AnswerFacts, Route, RouteKind} from '@valvesaddle/gateway-types';
 import {createAdmitter} from '../src/create-admitter.ts';
-import {canRepeat} from '../src/can-repeat.ts';
+import {canRetry} from '../src/can-retry.ts';
 import {classifyAnswer} from '../src/classify-answer.ts';
-import {getPatience} from '../src/get-patience.ts';
+import {getProgressTimeouts} from '../src/get-progress-timeouts.ts';
 import {pickTarget} from '../src/pick-target.ts';
 import {rankUrgency} from '../src/rank-urgency.ts';
 
@@ -31,10 +31,10 @@
 		['stream', true, true, 2, false],
 	];
 	for (const [kind, isResumable, mayHaveRun, runs, isAllowed] of cases) {
-		t.equal(canRepeat({route: {...route, kind, isResumable}, mayHaveRun, runs}), isAllowed, `${kind} ${String(isResumable)} ${String(mayHaveRun)} ${runs}`);
+		t.equal(canRetry({route: {...route, kind, isResumable}, mayHaveRun, runs}), isAllowed, `${kind} ${String(isResumable)} ${String(mayHaveRun)} ${runs}`);
 	}
 
-	t.ok(canRepeat({route: {...route, maximumAttempts: 0}, mayHaveRun: false, runs: 0}), 'at least one endpoint is tried');
+	t.ok(canRetry({route: {...route, maximumAttempts: 0}, mayHaveRun: false, runs: 0}), 'at least one endpoint is tried');
 	t.end();
 });
 
@@ -69,10 +69,10 @@
 });
 
 test('patience follows the objective, but never falls below what was predicted', t => {
-	t.equal(getPatience(route, 0).firstMs, 180);
-	t.equal(getPatience(route, 500).firstMs, 1500);
-	t.equal(getPatience({...route, pauseObjectiveMs: 120}, 0).pauseMs, 700);
-	t.equal(getPatience({...route, pauseObjectiveMs: 600}, 0).pauseMs, 2400);
+	t.equal(getProgressTimeouts(route, 0).firstByteMs, 180);
+	t.equal(getProgressTimeouts(route, 500).firstByteMs, 1500);
+	t.equal(getProgressTimeouts({...route, pauseObjectiveMs: 120}, 0).pauseMs, 700);
+	t.equal(getProgressTimeouts({...route, pauseObjectiveMs: 600}, 0).pauseMs, 2400);
 	t.end();
 });
 
--- a/gateway/forwarding/test/patience.test.ts
+++ b/gateway/forwarding/test/progress-timer.test.ts
@@ -5,7 +5,7 @@
 import {Clock} from 'clock-mock';
 import fc from 'fast-check';
 import {test} from 'tap';
-import {createPatience} from '../src/create-patience.ts';
+import {createProgressTimer} from '../src/create-progress-timer.ts';
 
 /**
 Millisecond by millisecond, so that what comes due sees its own time.
@@ -24,7 +24,7 @@
 			const startedAt = performance.now();
 			let endedAt: number | undefined;
 			let endedLength = 0;
-			const patience = createPatience(milliseconds => {
+			const patience = createProgressTimer(milliseconds => {
 				endedAt ??= performance.now();
 				endedLength ||= milliseconds;
 			});
@@ -56,7 +56,7 @@
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	let ends = 0;
-	const patience = createPatience(() => {
+	const patience = createProgressTimer(() => {
 		ends++;
 	});
 	patience.start(100);
--- a/gateway/front/src/create-connection-guard.ts
+++ b/gateway/front/src/create-connection-guard.ts
@@ -12,7 +12,7 @@
 /**
 Code for a connection that its caller ended within a request.
 */
-const endedWithin = 'HPE_INVALID_EOF_STATE';
+const callerEndedCode = 'HPE_INVALID_EOF_STATE';
 
 /**
  Creates the guard of callers' connections. The answers that are open on a connection end before it is closed; only where none
@@ -45,7 +45,7 @@
 		});
 	}
 
-	function answerAlone(socket: Duplex, status: number): void {
+	function sendParserStatus(socket: Duplex, status: number): void {
 		socket.end(`HTTP/1.1 ${status} ${STATUS_CODES[status] ?? ''}\r\nConnection: close\r\n\r\n`);
 		const timer = setTimeout(() => {
 			socket.destroy();
@@ -80,7 +80,7 @@
 		handleError(error, socket) {
 			const answers = listOpen(socket);
 			const last = answers.at(-1);
-			if (last !== undefined && error.code === endedWithin) {
+			if (last !== undefined && error.code === callerEndedCode) {
 				// The caller has left: its runs are to end, as when it leaves between two requests.
 				socket.end();
 			}
@@ -95,7 +95,7 @@
 			record(error, answers.length, status);
 			if (status !== undefined) {
 				// Written over an open answer it would be taken for that of a request that runs.
-				answerAlone(socket, status);
+				sendParserStatus(socket, status);
 			} else if (last !== undefined) {
 				closeAfter(last, socket);
 			}
--- a/gateway/front/src/create-front.ts
+++ b/gateway/front/src/create-front.ts
@@ -14,24 +14,24 @@
 /**
 When a caller may come back to a node that has no configuration yet, or perhaps not the newest, in milliseconds.
 */
-const comeBackMs = 300;
+const notReadyRetryMs = 300;
 /**
 Largest head that the parser takes, in bytes; the configuration's limit is checked besides.
 */
-const largestHeadBytes = 128 * 1024;
+const maximumHeadBytes = 128 * 1024;
 /**
 How often connections are checked for heads that take too long, in milliseconds.
 */
-const checkMs = 500;
+const headerCheckIntervalMs = 500;
 /**
 How often a node that leaves closes connections that have become idle, in milliseconds.
 */
-const idleCheckMs = 100;
+const idleCheckIntervalMs = 100;
 
 /**
 What is denied since the configuration does not allow it.
 */
-const denials: ReadonlySet<string> = new Set([
+const deniedCodes: ReadonlySet<string> = new Set([
 	'ERR_VALVESADDLE_NO_ROUTE', 'ERR_VALVESADDLE_UNAUTHENTICATED', 'ERR_VALVESADDLE_HEADERS_TOO_LARGE', 'ERR_VALVESADDLE_BODY_TOO_LARGE',
 ]);
 
@@ -46,7 +46,7 @@
 export function createFront(options: FrontOptions): Front {
 	const {logger, metrics} = options;
 	const server = createServer({
-		maxHeaderSize: largestHeadBytes, requestTimeout: 0, noDelay: true, connectionsCheckingInterval: checkMs,
+		maxHeaderSize: maximumHeadBytes, requestTimeout: 0, noDelay: true, connectionsCheckingInterval: headerCheckIntervalMs,
 	});
 	// Routes come from the configuration, so every path takes the default route.
 	restana({
@@ -74,8 +74,8 @@
 	/**
 	A newer configuration may allow what this one does not; callers do not repeat what was denied, so they are asked to come back.
 	*/
-	function toHonestError(error: ValvesaddleError): ValvesaddleError {
-		return !denials.has(error.code) || options.isCurrent() ? error : new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', `the configuration may be out of date: ${error.message}`, {retryAfterMs: comeBackMs});
+	function toCallerError(error: ValvesaddleError): ValvesaddleError {
+		return !deniedCodes.has(error.code) || options.isCurrent() ? error : new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', `the configuration may be out of date: ${error.message}`, {retryAfterMs: notReadyRetryMs});
 	}
 
 	function buildRequest(request: IncomingMessage, arrivedAt: number): Omit<ForwardRequest, 'body'> {
@@ -91,7 +91,7 @@
 
 		const index = options.routes();
 		if (index === undefined) {
-			throw new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'no configuration is known yet', {retryAfterMs: comeBackMs});
+			throw new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'no configuration is known yet', {retryAfterMs: notReadyRetryMs});
 		}
 
 		const {headerBytes} = options.limits();
@@ -135,7 +135,7 @@
 		try {
 			await forward(request, response);
 		} catch (error) {
-			refuse(request, response, toHonestError(toValvesaddleError(error)));
+			refuse(request, response, toCallerError(toValvesaddleError(error)));
 		}
 	}
 
@@ -152,7 +152,7 @@
 			// A connection whose answer had begun before is idle only later.
 			const timer = setInterval(() => {
 				server.closeIdleConnections();
-			}, idleCheckMs);
+			}, idleCheckIntervalMs);
 			server.close(() => {
 				resolve();
 			});
--- a/gateway/front/src/create-reply.ts
+++ b/gateway/front/src/create-reply.ts
@@ -26,11 +26,11 @@
 			response.flushHeaders();
 		},
 		write(bytes) {
-			const socket = findOwnSocket(response);
+			const socket = findWritableSocket(response);
 			return socket === undefined ? response.write(bytes) : socket.write(formatChunk(bytes));
 		},
 		onDrain(resume) {
-			(findOwnSocket(response) ?? response).once('drain', resume);
+			(findWritableSocket(response) ?? response).once('drain', resume);
 		},
 		end() {
 			response.end();
@@ -48,6 +48,6 @@
 The connection, once its turn is this answer's and the head has gone out. A piece is then one write in place of the three that
 the HTTP server makes of it: length, bytes and end of line.
 */
-function findOwnSocket({chunkedEncoding, socket, headersSent}: ServerResponse): Socket | undefined {
+function findWritableSocket({chunkedEncoding, socket, headersSent}: ServerResponse): Socket | undefined {
 	return headersSent && chunkedEncoding && socket?.writable === true ? socket : undefined;
 }
--- a/gateway/front/src/read-whole-body.ts
+++ b/gateway/front/src/read-whole-body.ts
@@ -20,19 +20,19 @@
 	}
 
 	const {promise, resolve, reject} = Promise.withResolvers<Uint8Array>();
-	const pieces: Uint8Array[] = [];
+	const chunks: Uint8Array[] = [];
 	let bytes = 0;
-	request.on('data', (piece: Uint8Array) => {
-		bytes += piece.length;
+	request.on('data', (chunk: Uint8Array) => {
+		bytes += chunk.length;
 		if (bytes > limitBytes) {
 			reject(new ValvesaddleError('ERR_VALVESADDLE_BODY_TOO_LARGE', `over ${limitBytes} bytes`));
 			return;
 		}
 
-		pieces.push(piece);
+		chunks.push(chunk);
 	});
 	request.once('end', () => {
-		resolve(Buffer.concat(pieces));
+		resolve(Buffer.concat(chunks));
 	});
 	request.once('close', () => {
 		// Each request ends so; an error is dear to make.
