--- a/gateway/forwarding/src/answer-class.ts
+++ b/gateway/forwarding/src/answer-class.ts
@@ -1,7 +1,10 @@
 /**
-What the head of an answer means for the request:
-`stream` and `whole` are to be passed on, `not-run` may be tried elsewhere, `misdirected` too since another instance has taken
-over the address, `run-failed` is an endpoint's own failure after
-it ran, and `untrusted` says nothing that holds.
+Class of an endpoint's answer by its status and headers:
+
+- `stream`, `whole`: sent to the caller, as an event stream or as one body.
+- `not-run`: the endpoint did not run the request, which may be sent to another one.
+- `misdirected`: like `not-run`; another instance answers at the address.
+- `run-failed`: the endpoint failed while it ran the request.
+- `untrusted`: not verifiably the endpoint's answer to this request, which may have run.
 */
 export type AnswerClass = 'stream' | 'whole' | 'not-run' | 'misdirected' | 'run-failed' | 'untrusted';
--- a/gateway/forwarding/src/answer-writer.ts
+++ b/gateway/forwarding/src/answer-writer.ts
@@ -1,36 +1,36 @@
 import type {AttemptAnswer} from './attempt-answer.ts';
 
 /**
-Writes the one answer of a request to its caller, from as many runs as it takes.
+Writes one answer to the caller, from one or several runs of its request.
 */
 export type AnswerWriter = {
 	/**
-	Whether the caller has got the head of a stream.
+	Whether the head of a stream was sent to the caller.
 	*/
 	readonly isStarted: () => boolean;
 	/**
-	Begins a stream; later runs go on with it.
+	Sends the head of a stream once; later runs continue the stream.
 	*/
 	readonly start: (answer: AttemptAnswer) => void;
 	/**
-	Writes a piece of a stream; `false` while the caller reads more slowly, until `onDrain` is called.
+	Writes a chunk of a stream; returns `false` under backpressure, until the `onDrain` callback is called.
 	*/
 	readonly write: (chunk: Uint8Array) => boolean;
 	readonly onDrain: (resume: () => void) => void;
 	/**
-	Event after which the next run has to go on; -1 for the caller's own.
+	Id of the last event that was sent, after which the next run continues; -1 before the stream is started.
 	*/
 	readonly lastEventId: () => number;
 	/**
-	Whether the run ended within an event.
+	Whether an incomplete event is buffered.
 	*/
 	readonly hasPartialEvent: () => boolean;
 	/**
-	A run has failed: a half event of it is dropped.
+	Discards the incomplete event of a run that failed.
 	*/
 	readonly discardPartialEvent: () => void;
 	/**
-	Ends the answer that has come whole.
+	Ends a stream, or sends a complete answer.
 	*/
 	readonly end: (answer: AttemptAnswer) => void;
 };
--- a/gateway/forwarding/src/attempt-answer.ts
+++ b/gateway/forwarding/src/attempt-answer.ts
@@ -2,7 +2,7 @@
 import type {AnswerClass} from './answer-class.ts';
 
 /**
-An endpoint's answer as far as it has come.
+An endpoint's answer as received so far.
 */
 export type AttemptAnswer = {
 	readonly status: number;
--- a/gateway/forwarding/src/attempt-events.ts
+++ b/gateway/forwarding/src/attempt-events.ts
@@ -2,35 +2,35 @@
 import type {AttemptFailure} from './attempt-failure.ts';
 
 /**
-Is told what becomes of an attempt. `onAnswer` or `onFailure` comes last, and only one of them.
+Callbacks of an attempt. Exactly one of `onAnswer` and `onFailure` is called, as the last one, unless the attempt is ended first.
 */
 export type AttemptEvents = {
 	/**
-	The first byte is about to go out: from here on the request may run.
+	Called just before the first byte is sent. From here on the endpoint may run the request.
 	*/
 	readonly onSent: () => void;
 	/**
-	The endpoint says that it did not run the request; `onFailure` follows.
+	The endpoint reports that it did not run the request; `onFailure` follows.
 	*/
 	readonly onNotRun: () => void;
 	/**
-	The request began to run at that time, in milliseconds on the steady clock.
+	The request started to run, with the time in milliseconds on the monotonic clock.
 	*/
 	readonly onStarted: (at: number) => void;
 	/**
-	A piece of the answer has come.
+	A chunk of the answer was received.
 	*/
 	readonly onChunk: () => void;
 	/**
-	The caller reads slowly, which says nothing about the endpoint.
+	Reading is paused because of the caller's backpressure, so the endpoint is not timed.
 	*/
 	readonly onPaused: () => void;
 	/**
-	The endpoint will not answer; the attempt goes on until it is ended.
+	The endpoint has stalled or terminated; the attempt stays open until it is ended.
 	*/
 	readonly onEndpointLost: (reason: string) => void;
 	/**
-	The answer is whole and for the caller.
+	The answer is complete and can be sent to the caller.
 	*/
 	readonly onAnswer: (answer: AttemptAnswer) => void;
 	readonly onFailure: (failure: AttemptFailure) => void;
--- a/gateway/forwarding/src/attempt-failure.ts
+++ b/gateway/forwarding/src/attempt-failure.ts
@@ -1,16 +1,16 @@
 import type {AttemptAnswer} from './attempt-answer.ts';
 
 /**
-Why an attempt brought no answer for the caller.
+Why an attempt produced no answer for the caller.
 */
 export type AttemptFailure = {
 	readonly reason: string;
 	/**
-	Whether the endpoint may have begun to run the request.
+	Whether the endpoint may have run the request.
 	*/
 	readonly mayHaveRun: boolean;
 	/**
-	An endpoint's own failure, passed on when no other try is left.
+	The endpoint's error response, sent to the caller when the request is not retried.
 	*/
 	readonly answer?: AttemptAnswer | undefined;
 };
--- a/gateway/forwarding/src/attempt-options.ts
+++ b/gateway/forwarding/src/attempt-options.ts
@@ -12,13 +12,13 @@
 	readonly request: ForwardRequest;
 	readonly question: SelectionQuestion;
 	/**
-	The endpoint that was chosen.
+	The chosen endpoint.
 	*/
 	readonly selection: Selection;
 	readonly writer: AnswerWriter;
 	readonly recorder: RequestRecorder;
 	/**
-	Time that is left for the request, in milliseconds.
+	Time until the request's deadline, in milliseconds.
 	*/
 	readonly remainingMs: number;
 };
--- a/gateway/forwarding/src/attempt.ts
+++ b/gateway/forwarding/src/attempt.ts
@@ -1,9 +1,9 @@
 /**
-A request on its way to one endpoint.
+A request that is open at one endpoint.
 */
 export type Attempt = {
 	/**
-	Gives the attempt up; it tells nothing more.
+	Aborts the attempt; none of its callbacks is called after that.
 	*/
 	readonly end: (outcome: 'failed' | 'cancelled') => void;
 };
--- a/gateway/forwarding/src/can-retry.ts
+++ b/gateway/forwarding/src/can-retry.ts
@@ -2,26 +2,26 @@
 import {isRetryable} from './is-retryable.ts';
 
 /**
-What has become of a request so far.
+State of a request after a failed attempt.
 */
 type RetryState = {
 	readonly route: Route;
 	/**
-	Whether the endpoint that failed may have begun to run it.
+	Whether the failed endpoint may have run the request.
 	*/
 	readonly mayHaveRun: boolean;
 	/**
-	Endpoints that may have run it.
+	Number of endpoints that may have run the request.
 	*/
 	readonly runs: number;
 };
 
 /**
- Tells whether a request may be sent to another endpoint: never one that may have run and is not repeatable, and no more
- often than its route allows.
+ Whether a request may be sent to another endpoint. A request that may have run is sent again only if it is retryable, and no
+ request is run more often than its route allows.
 
  @example
- canRepeat({route: {...route, kind: 'unsafe'}, mayHaveRun: true, runs: 1}); // false
+ canRetry({route: {...route, kind: 'unsafe'}, mayHaveRun: true, runs: 1}); // false
  */
 export function canRetry({route, mayHaveRun, runs}: RetryState): boolean {
 	return runs < Math.max(1, route.maximumAttempts) && (!mayHaveRun || isRetryable(route));
--- a/gateway/forwarding/src/chunk-timer.ts
+++ b/gateway/forwarding/src/chunk-timer.ts
@@ -1,18 +1,18 @@
 /**
-When the pieces of an answer came.
+Measures when the chunks of an answer arrive.
 */
 export type ChunkTimer = {
 	readonly record: () => void;
 	/**
-	Pieces so far.
+	Number of chunks so far.
 	*/
 	readonly chunks: () => number;
 	/**
-	Milliseconds from the request's arrival to the first piece; `undefined` before it.
+	Milliseconds from the request's arrival to the first chunk; `undefined` before it.
 	*/
 	readonly firstMs: () => number | undefined;
 	/**
-	Longest time between two pieces, in milliseconds.
+	Longest time between two chunks, in milliseconds.
 	*/
 	readonly longestPauseMs: () => number;
 };
--- a/gateway/forwarding/src/classify-answer.ts
+++ b/gateway/forwarding/src/classify-answer.ts
@@ -2,40 +2,40 @@
 import type {AnswerClass} from './answer-class.ts';
 
 /**
-Statuses that promise a caller that its request did not run; only an endpoint's explicit mark may bear them out.
+Statuses by which callers assume that their request did not run. They are trusted only with the endpoint's explicit not-run header.
 */
-const promisingStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+const notRunStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /**
- Classifies the head of an endpoint's answer.
+ Classifies an endpoint's answer by its status and headers.
 
  @example
  classifyAnswer(200, {requestId: 'a', isSigned: true, isNotRun: false, isEventStream: false, isEncoded: false, isMisdirected: false, retryAfterMs: undefined, isLeaving: false}, 'a'); // 'whole'
  */
-export function classifyAnswer(status: number, facts: AnswerFacts, requestId: string | undefined): AnswerClass {
-	if (facts.requestId !== undefined && facts.requestId !== requestId) {
+export function classifyAnswer(status: number, metadata: AnswerFacts, requestId: string | undefined): AnswerClass {
+	if (metadata.requestId !== undefined && metadata.requestId !== requestId) {
 		return 'untrusted';
 	}
 
-	if (facts.isMisdirected) {
+	if (metadata.isMisdirected) {
 		return 'misdirected';
 	}
 
-	if (facts.isNotRun) {
+	if (metadata.isNotRun) {
 		return 'not-run';
 	}
 
-	if (status >= 500 && !promisingStatuses.has(status)) {
+	if (status >= 500 && !notRunStatuses.has(status)) {
 		return 'run-failed';
 	}
 
-	// Another process at the address may redirect or reject too, so these have to be vouched for like successes.
-	const isVouchedFor = facts.isSigned && facts.requestId === requestId;
-	if (!isVouchedFor || promisingStatuses.has(status)) {
+	// Another process at the address may redirect or reject too, so these must be signed like successes.
+	const isVerified = metadata.isSigned && metadata.requestId === requestId;
+	if (!isVerified || notRunStatuses.has(status)) {
 		return 'untrusted';
 	}
 
-	return status < 300 ? classifySuccess(facts) : 'whole';
+	return status < 300 ? classifySuccess(metadata) : 'whole';
 }
 
 function classifySuccess({isEncoded, isEventStream}: AnswerFacts): AnswerClass {
--- a/gateway/forwarding/src/create-answer-writer.ts
+++ b/gateway/forwarding/src/create-answer-writer.ts
@@ -12,25 +12,25 @@
 };
 
 /**
- Creates the writer of a request's answer. Of a stream that may be resumed it passes on whole events only, each once.
+ Creates the writer of a request's answer. Of a resumable stream it forwards complete events only, each once.
 
  @example
  const writer = createAnswerWriter({request, reply, wire});
- writer.begin(answer);
+ writer.start(answer);
  writer.write(chunk);
  */
-export function createAnswerWriter({request: {route, metadata: facts}, reply, wire}: AnswerWriterOptions): AnswerWriter {
-	const filter = route.kind === 'stream' && route.isResumable ? createEventStreamFilter(facts.lastEventId) : undefined;
-	let isBegun = false;
+export function createAnswerWriter({request: {route, metadata}, reply, wire}: AnswerWriterOptions): AnswerWriter {
+	const filter = route.kind === 'stream' && route.isResumable ? createEventStreamFilter(metadata.lastEventId) : undefined;
+	let isStarted = false;
 
 	return {
-		isStarted: () => isBegun,
+		isStarted: () => isStarted,
 		start(answer) {
-			if (isBegun) {
+			if (isStarted) {
 				return;
 			}
 
-			isBegun = true;
+			isStarted = true;
 			reply.start(answer.status, wire.writeAnswer(answer.headers));
 		},
 		write(chunk) {
@@ -38,7 +38,7 @@
 			return bytes.length === 0 || reply.write(bytes);
 		},
 		onDrain: reply.onDrain,
-		lastEventId: () => isBegun ? filter?.lastEventId() ?? -1 : -1,
+		lastEventId: () => isStarted ? filter?.lastEventId() ?? -1 : -1,
 		hasPartialEvent: () => filter?.hasPartialEvent() === true,
 		discardPartialEvent() {
 			filter?.discardPartialEvent();
--- a/gateway/forwarding/src/create-attempt.ts
+++ b/gateway/forwarding/src/create-attempt.ts
@@ -8,30 +8,30 @@
 import {classifyAnswer} from './classify-answer.ts';
 
 /**
-Largest answer that is held until it is whole, in bytes.
+Largest answer that is buffered, in bytes. Event streams are not buffered.
 */
 const maximumBufferedBytes = 8 * 1024 * 1024;
 
 /**
- Sends a request to the endpoint that was chosen, writes what is a stream to the caller, and tells what became of it.
+ Sends a request to the chosen endpoint, writes an event stream to the caller, and reports the outcome.
 
  @example
- const attempt = createAttempt({tools, request, question, selection, writer, record, remainingMs: 4000}, events);
+ const attempt = createAttempt({tools, request, question, selection, writer, recorder, remainingMs: 4000}, events);
  attempt.end('cancelled');
  */
-export function createAttempt({tools, request, question, selection, writer, recorder: record, remainingMs}: AttemptOptions, events: AttemptEvents): Attempt {
+export function createAttempt({tools, request, question, selection, writer, recorder, remainingMs}: AttemptOptions, events: AttemptEvents): Attempt {
 	const {selector, exchanges, wire} = tools;
-	const {metadata: facts} = request;
+	const {metadata} = request;
 	const {endpoint} = selection;
 	const openRequest = selector.open(selection, question);
 	let answer: AttemptAnswer | undefined;
 	let sentAt: number | undefined;
 
 	openRequest.onSilent(() => {
-		events.onEndpointLost('silent to all nodes');
+		events.onEndpointLost('endpoint stalled for all nodes');
 	});
 	openRequest.onEnded(() => {
-		events.onEndpointLost('its process has ended');
+		events.onEndpointLost('endpoint process terminated');
 	});
 
 	function end(outcome: 'failed' | 'cancelled'): void {
@@ -40,7 +40,7 @@
 	}
 
 	/**
-	Ends an attempt whose answer cannot be used, though the endpoint goes on with it.
+	Aborts an attempt whose answer cannot be used.
 	*/
 	function failAttempt(reason: string): void {
 		end('failed');
@@ -48,17 +48,17 @@
 	}
 
 	/**
-	An endpoint may say of itself, in any answer, that it wants no requests for some time or that it leaves.
+	Applies the cooldown or the draining signal that an endpoint may send with any answer.
 	*/
-	function applyNotice(status: number, {requestId, retryAfterMs, isLeaving: saysLeaving}: AnswerFacts): void {
-		// A cooldown ends by itself; that an endpoint leaves is believed only of an answer that is surely its own.
-		const notice = {retryAfterMs, isLeaving: saysLeaving && requestId === facts.requestId};
+	function applyNotice(status: number, {requestId, retryAfterMs, isLeaving: isDraining}: AnswerFacts): void {
+		// A cooldown expires by itself; a draining signal is accepted only with the request's own id.
+		const notice = {retryAfterMs, isLeaving: isDraining && requestId === metadata.requestId};
 		if (retryAfterMs === undefined && !notice.isLeaving) {
 			return;
 		}
 
 		selector.applyNotice(endpoint.incarnation, notice);
-		record.recordNotice(endpoint, status, notice);
+		recorder.recordNotice(endpoint, status, notice);
 	}
 
 	function handleData(current: AttemptAnswer, chunk: Uint8Array): Flow {
@@ -68,7 +68,7 @@
 
 		current.bytes += chunk.length;
 		if (current.bytes > maximumBufferedBytes) {
-			failAttempt(`answer of over ${maximumBufferedBytes} bytes`);
+			failAttempt(`answer larger than ${maximumBufferedBytes} bytes`);
 			return 'more';
 		}
 
@@ -90,21 +90,21 @@
 	}
 
 	function handleEnd(completed: AttemptAnswer): void {
-		const {answerClass: verdict, status} = completed;
-		if (verdict === 'not-run' || verdict === 'misdirected') {
-			openRequest.close(verdict === 'misdirected' ? 'gone' : 'rejected');
+		const {answerClass, status} = completed;
+		if (answerClass === 'not-run' || answerClass === 'misdirected') {
+			openRequest.close(answerClass === 'misdirected' ? 'gone' : 'rejected');
 			events.onNotRun();
-			events.onFailure({reason: `refused with ${status}`, mayHaveRun: false});
-		} else if (verdict === 'run-failed') {
+			events.onFailure({reason: `refused with status ${status}`, mayHaveRun: false});
+		} else if (answerClass === 'run-failed') {
 			openRequest.close('failed');
-			events.onFailure({reason: `failed with ${status}`, mayHaveRun: true, answer: completed});
-		} else if (verdict === 'stream' && writer.hasPartialEvent()) {
+			events.onFailure({reason: `failed with status ${status}`, mayHaveRun: true, answer: completed});
+		} else if (answerClass === 'stream' && writer.hasPartialEvent()) {
 			openRequest.close('failed');
-			events.onFailure({reason: 'the stream ended within an event', mayHaveRun: true});
-		} else if (verdict === 'whole' && writer.isStarted()) {
-			// The caller has the head of a stream already, which nothing but a stream can go on with.
+			events.onFailure({reason: 'the stream ended in the middle of an event', mayHaveRun: true});
+		} else if (answerClass === 'whole' && writer.isStarted()) {
+			// The caller has already received the head of a stream, which only another stream can continue.
 			openRequest.close('failed');
-			events.onFailure({reason: `a stream went on as a whole answer ${status}`, mayHaveRun: true});
+			events.onFailure({reason: `expected the rest of a stream, received a single answer with status ${status}`, mayHaveRun: true});
 		} else {
 			openRequest.close('done');
 			events.onAnswer(completed);
@@ -112,7 +112,7 @@
 	}
 
 	/**
-	A request that was held back since its endpoint takes none says nothing against the endpoint.
+	Outcome of a request that was not sent. If the endpoint accepts no requests at the moment, that is not counted as a failure.
 	*/
 	function classifyUnsent(): Parameters<OpenWork['close']>[0] {
 		return selector.canTake(endpoint) ? 'gone' : 'cancelled';
@@ -139,20 +139,20 @@
 		onHead(status, headers) {
 			const answerMetadata = wire.readAnswer(status, headers);
 			applyNotice(status, answerMetadata);
-			const verdict = classifyAnswer(status, answerMetadata, facts.requestId);
+			const answerClass = classifyAnswer(status, answerMetadata, metadata.requestId);
 			answer = {
-				status, headers, answerClass: verdict, chunks: [], bytes: 0,
+				status, headers, answerClass, chunks: [], bytes: 0,
 			};
-			if (verdict === 'stream') {
+			if (answerClass === 'stream') {
 				writer.start(answer);
-			} else if (verdict === 'untrusted') {
-				// What follows on the connection cannot be told apart from other answers.
-				failAttempt(`untrusted answer ${status}`);
+			} else if (answerClass === 'untrusted') {
+				// The rest of the data on this connection may belong to another request's answer.
+				failAttempt(`untrusted answer with status ${status}`);
 			}
 		},
 		onData(chunk) {
 			openRequest.markPiece();
-			record.recordChunk();
+			recorder.recordChunk();
 			if (answer?.answerClass === 'stream') {
 				events.onStarted(performance.now());
 			}
--- a/gateway/forwarding/src/create-chunk-timer.ts
+++ b/gateway/forwarding/src/create-chunk-timer.ts
@@ -2,23 +2,23 @@
 import type {ChunkTimer} from './chunk-timer.ts';
 
 /**
- Creates the clock of an answer's pieces.
+ Creates the timer of an answer's chunks.
 
  @example
- const clock = createPieceClock(performance.now(), metrics);
- clock.record();
- clock.longestPauseMs(); // 0
+ const chunkTimer = createChunkTimer(performance.now(), metrics);
+ chunkTimer.record();
+ chunkTimer.longestPauseMs(); // 0
  */
 export function createChunkTimer(arrivedAt: number, metrics: Metrics): ChunkTimer {
 	let firstMs: number | undefined;
 	let lastAt = 0;
 	let longestPauseMs = 0;
-	let pieces = 0;
+	let chunks = 0;
 
 	return {
 		record() {
 			const now = performance.now();
-			pieces++;
+			chunks++;
 			if (firstMs === undefined) {
 				firstMs = Math.round(now - arrivedAt);
 				metrics.timing('gateway.first-byte', firstMs);
@@ -29,7 +29,7 @@
 
 			lastAt = now;
 		},
-		chunks: () => pieces,
+		chunks: () => chunks,
 		firstMs: () => firstMs,
 		longestPauseMs: () => Math.round(longestPauseMs),
 	};
--- a/gateway/forwarding/src/create-forward-task.ts
+++ b/gateway/forwarding/src/create-forward-task.ts
@@ -19,24 +19,25 @@
 import {rankUrgency} from './rank-urgency.ts';
 
 /**
-Endpoints that may refuse or be unreachable, one after the other, before the caller is told so.
+Number of endpoints that are tried for one request, including those that refuse it or are unreachable.
 */
 const maximumTriedEndpoints = 5;
+
 /**
- Starts to carry a request to one final answer. The task owns its timers and the exchange that is under way.
+ Forwards a request until it has one final answer. The task owns its timers and its open exchange.
 
  @example
- const task = createForwardTask(options, {request, reply, onOver() {}});
+ const task = createForwardTask(options, {request, reply, onEnd() {}});
  task.cancel();
  */
-export function createForwardTask(options: ForwarderOptions, {request, reply, onEnd: onOver}: ForwardTaskOptions): ForwardTask {
+export function createForwardTask(options: ForwarderOptions, {request, reply, onEnd}: ForwardTaskOptions): ForwardTask {
 	const {selector, wire, metrics} = options;
-	const {metadata: facts, route} = request;
-	const waitMs = Math.min(route.timeoutMs, facts.waitMs ?? Infinity);
+	const {metadata, route} = request;
+	const waitMs = Math.min(route.timeoutMs, metadata.waitMs ?? Infinity);
 	const deadlineAt = request.arrivedAt + waitMs;
 	const writer = createAnswerWriter({request, reply, wire});
 	const admitter = createAdmitter(options, request, waitMs);
-	const record = createRequestRecorder(options, request);
+	const recorder = createRequestRecorder(options, request);
 	const refusals = createRefusals(selector, request.pool);
 	const tried = new Set<string>();
 	const question: SelectionQuestion = {
@@ -44,8 +45,8 @@
 		objectiveMs: route.latencyObjectiveMs,
 		pauseObjectiveMs: route.pauseObjectiveMs,
 		urgency: rankUrgency(route, request.account, false),
-		promptTokens: facts.promptTokens,
-		parts: facts.parts,
+		promptTokens: metadata.promptTokens,
+		parts: metadata.parts,
 		tried,
 	};
 	const isRequestRetryable = isRetryable(route);
@@ -90,12 +91,12 @@
 		hasEnded = true;
 		clearTimeout(timer);
 		progressTimer.stop();
-		record.recordEnd(outcome, status, {tries: attempts, runs});
-		onOver();
+		recorder.recordEnd(outcome, status, {attempts, runs});
+		onEnd();
 	}
 
 	/**
-	A request begins to run once, however often it is sent: a stream with its first event, any other when it was sent.
+	Reports the start of a request once, however often it is sent: a stream with its first event, any other request when it is sent.
 	*/
 	function markStarted(at: number): void {
 		if (isStarted) {
@@ -123,7 +124,7 @@
 	}
 
 	/**
-	Gives an endpoint some time for its next byte; a request that may be repeated then goes elsewhere.
+	Restarts the timeout for the next chunk, after which a retryable request is sent to another endpoint.
 	*/
 	function startProgressTimer(milliseconds: number): void {
 		if (isRequestRetryable) {
@@ -132,7 +133,7 @@
 	}
 
 	/**
-	The endpoint will not answer: a request that may be repeated goes elsewhere at once.
+	Sends a retryable request to another endpoint immediately, since this one will not answer.
 	*/
 	function handleEndpointLost(reason: string): void {
 		if (!canRetry({route, mayHaveRun: true, runs}) || selector.choose(question) === undefined) {
@@ -154,7 +155,7 @@
 		const selection = attempts < maximumTriedEndpoints ? selector.choose(question) : undefined;
 		metrics.timing('gateway.decision', performance.now() - startedAt);
 		if (selection === undefined) {
-			record.recordNoEndpoint(attempts, selector.getCooldownMs(request.pool));
+			recorder.recordNoEndpoint(attempts, selector.getCooldownMs(request.pool));
 			refuse(refusals.buildNoEndpoint(attempts));
 			return;
 		}
@@ -171,16 +172,16 @@
 		attempts++;
 		tried.add(selection.endpoint.incarnation);
 		const remainingMs = deadlineAt - performance.now();
-		record.recordSent(selection, attempts, remainingMs);
+		recorder.recordSent(selection, attempts, remainingMs);
 		startProgressTimer(getProgressTimeouts(route, request.isEnginePool ? selection.costMs : 0).firstByteMs);
 		attempt = createAttempt({
-			tools: options, request, question, selection, writer, recorder: record, remainingMs,
+			tools: options, request, question, selection, writer, recorder, remainingMs,
 		}, events);
 	}
 
 	function answerCaller(answer: AttemptAnswer): void {
 		attempt = undefined;
-		// The timer goes last: an answer that cannot be written would otherwise stay open without end.
+		// The deadline timer is cleared last, so that a request whose answer cannot be written still times out.
 		writer.end(answer);
 		closeTask('answered', answer.status);
 	}
@@ -189,10 +190,10 @@
 		progressTimer.stop();
 		attempt = undefined;
 		writer.discardPartialEvent();
-		// An attempt that never arrived takes nothing from the budget.
+		// Retries use the retry budget only once the request has been sent to an endpoint.
 		const isAllowed = canRetry({route, mayHaveRun: failure.mayHaveRun, runs});
 		const isRetried = isAllowed && (sends === 0 || options.budget.spend(request.pool));
-		record.recordFailure(failure, attempts, isRetried);
+		recorder.recordFailure(failure, attempts, isRetried);
 		if (isRetried) {
 			startAttempt();
 		} else if (failure.answer !== undefined && !writer.isStarted()) {
--- a/gateway/forwarding/src/create-forwarder.ts
+++ b/gateway/forwarding/src/create-forwarder.ts
@@ -6,7 +6,7 @@
  Creates the forwarder of a node.
 
  @example
- const forwarder = createForwarder({wire, selector, exchanges, budget, waits: createUsualWaits(), admission, logger, metrics});
+ const forwarder = createForwarder({wire, selector, exchanges, budget, waits: createWaitBaselines(), admission, logger, metrics});
  const task = forwarder.forward(request, reply);
  */
 export function createForwarder(options: ForwarderOptions): Forwarder {
--- a/gateway/forwarding/src/create-progress-timer.ts
+++ b/gateway/forwarding/src/create-progress-timer.ts
@@ -1,13 +1,13 @@
 import type {ProgressTimer} from './progress-timer.ts';
 
 /**
- Creates a wait for the next sign of life. It sets one timer for a whole wait, however many signs come meanwhile: a stream brings
- one with each of its events.
+ Creates a progress timer. A restart only moves the deadline while a timer is already set, since a stream restarts it with
+ each chunk.
 
- @param onTimeout - Is told, with the milliseconds that were waited, when no sign has come.
+ @param onTimeout - Called with the timeout in milliseconds when it has expired.
  @example
- const patience = createPatience(milliseconds => console.log(`silent for ${milliseconds} ms`));
- patience.start(700);
+ const progressTimer = createProgressTimer(milliseconds => console.log(`silent for ${milliseconds} ms`));
+ progressTimer.start(700);
  */
 export function createProgressTimer(onTimeout: (milliseconds: number) => void): ProgressTimer {
 	let timeoutMs = 0;
--- a/gateway/forwarding/src/create-refusals.ts
+++ b/gateway/forwarding/src/create-refusals.ts
@@ -3,26 +3,26 @@
 import type {Refusals} from './refusals.ts';
 
 /**
-When a caller may come back, in milliseconds, as long as no measured wait says better.
+Retry-After in milliseconds when no cooldown or predicted wait is known.
 */
 const defaultRetryAfterMs = 300;
 /**
-Time over which callers that wait for the end of a cooldown are spread, in milliseconds.
+Time over which retries after a cooldown are spread, in milliseconds.
 */
 const retryAfterSpreadMs = 200;
 
 /**
- Creates the refusals of one request.
+ Creates the builder of one request's final errors.
 
- @param selector - Knows which endpoints have asked for a pause.
- @param pool - Pool that the request is for.
+ @param selector - Source of the endpoints' cooldowns.
+ @param pool - Service pool of the request.
  @example
  createRefusals(selector, 'drafting').buildNoEndpoint(2).retryAfterMs; // 300
  */
 export function createRefusals(selector: Pick<Selector, 'getCooldownMs'>, pool: string): Refusals {
 	/**
-	Draws when the caller may come back. While all endpoints are in a cooldown that is after the first of them ends, and callers are
-	spread so that they do not bring on the next one.
+	Draws the caller's Retry-After in milliseconds. While all endpoints are in a cooldown, it is spread over a short time after the
+	first one expires, so that the retries do not cause the next cooldown.
 	*/
 	function drawRetryAfterMs(): number {
 		const cooldownMs = selector.getCooldownMs(pool);
@@ -30,7 +30,7 @@
 	}
 
 	return {
-		buildNoEndpoint: tries => new ValvesaddleError(tries === 0 ? 'ERR_VALVESADDLE_NO_ENDPOINT' : 'ERR_VALVESADDLE_ENDPOINTS_BUSY', `${tries} of ${pool} tried`, {retryAfterMs: drawRetryAfterMs()}),
+		buildNoEndpoint: attempts => new ValvesaddleError(attempts === 0 ? 'ERR_VALVESADDLE_NO_ENDPOINT' : 'ERR_VALVESADDLE_ENDPOINTS_BUSY', `${attempts} endpoint(s) tried in pool ${pool}`, {retryAfterMs: drawRetryAfterMs()}),
 		buildOverloaded: (predictedMs, retryAfterMs) => new ValvesaddleError('ERR_VALVESADDLE_OVERLOADED', `first token predicted after ${Math.round(predictedMs)} ms`, {retryAfterMs}),
 		buildTimeout: (waitMs, wasSent) => wasSent
 			? new ValvesaddleError('ERR_VALVESADDLE_TIMEOUT', `no answer after ${waitMs} ms`)
--- a/gateway/forwarding/src/create-request-recorder.ts
+++ b/gateway/forwarding/src/create-request-recorder.ts
@@ -4,15 +4,15 @@
 import type {RequestRecorder} from './request-recorder.ts';
 
 /**
- Creates the record of one request.
+ Creates the recorder of one request.
 
  @example
- const record = createRequestRecord(options, request);
- record.recordEnd('answered', 200, {tries: 1, runs: 1});
+ const recorder = createRequestRecorder(options, request);
+ recorder.recordEnd('answered', 200, {attempts: 1, runs: 1});
  */
 export function createRequestRecorder({logger, metrics}: Pick<ForwarderOptions, 'logger' | 'metrics'>, request: ForwardRequest): RequestRecorder {
-	const {metadata: facts, route, pool} = request;
-	const id = facts.requestId ?? '-';
+	const {metadata, route, pool} = request;
+	const id = metadata.requestId ?? '-';
 	const chunkTimer = createChunkTimer(request.arrivedAt, metrics);
 
 	return {
@@ -28,7 +28,7 @@
 				costMs: Math.round(costMs),
 				harmMs: Math.round(harmMs),
 				heldTokens,
-				unreadTokens: facts.promptTokens - heldTokens,
+				unreadTokens: metadata.promptTokens - heldTokens,
 				urgency,
 				remainingMs: Math.round(remainingMs),
 				newsAgeMs,
@@ -47,18 +47,18 @@
 				name: 'attempt-failed', request: id, attempt, reason, mayHaveRun, isRetried,
 			});
 		},
-		recordNoEndpoint(tries, cooldownMs) {
+		recordNoEndpoint(attempts, cooldownMs) {
 			logger.info({
-				name: 'no-endpoint', request: id, pool, tries, cooldownMs: Math.round(cooldownMs),
+				name: 'no-endpoint', request: id, pool, tries: attempts, cooldownMs: Math.round(cooldownMs),
 			});
 		},
 		recordChunk: chunkTimer.record,
-		recordEnd(outcome, status, {tries, runs}) {
+		recordEnd(outcome, status, {attempts, runs}) {
 			const elapsedMs = Math.round(performance.now() - request.arrivedAt);
 			metrics.increment('gateway.ended', 1, {outcome});
 			metrics.timing('gateway.total', elapsedMs);
 			logger.info({
-				name: 'request-ended', request: id, route: route.name, outcome, status, elapsedMs, firstByteMs: chunkTimer.firstMs(), longestPauseMs: chunkTimer.longestPauseMs(), pieces: chunkTimer.chunks(), tries, runs,
+				name: 'request-ended', request: id, route: route.name, outcome, status, elapsedMs, firstByteMs: chunkTimer.firstMs(), longestPauseMs: chunkTimer.longestPauseMs(), pieces: chunkTimer.chunks(), tries: attempts, runs,
 			});
 		},
 	};
--- a/gateway/forwarding/src/forward-request.ts
+++ b/gateway/forwarding/src/forward-request.ts
@@ -1,21 +1,21 @@
 import type {GatewayAccount, RequestFacts, Route} from '@valvesaddle/gateway-types';
 
 /**
-A caller's request, read in full and allowed by the configuration.
+A caller's request, with its whole body read and its route and client account resolved.
 */
 export type ForwardRequest = {
 	readonly metadata: RequestFacts;
 	readonly route: Route;
 	/**
-	Version of the configuration that allowed it.
+	Version of the configuration that it was resolved with.
 	*/
 	readonly version: number;
 	/**
-	Service pool drawn from the route's targets.
+	Service pool, drawn from the route's targets by weight.
 	*/
 	readonly pool: string;
 	/**
-	Whether the pool's endpoints are model engines, which order their work by urgency.
+	Whether the pool's endpoints are model engines, which order requests by urgency.
 	*/
 	readonly isEnginePool: boolean;
 	readonly account: GatewayAccount | undefined;
@@ -24,7 +24,7 @@
 	readonly rawHeaders: readonly string[];
 	readonly body: Uint8Array | undefined;
 	/**
-	Steady time at which the request's head had arrived, in milliseconds.
+	When the request's headers arrived, in milliseconds on the monotonic clock.
 	*/
 	readonly arrivedAt: number;
 };
--- a/gateway/forwarding/src/forward-task.ts
+++ b/gateway/forwarding/src/forward-task.ts
@@ -1,9 +1,9 @@
 /**
-A request on its way.
+A request that is being forwarded.
 */
 export type ForwardTask = {
 	/**
-	The caller has gone: stops all work for it.
+	Aborts the request, since its caller has disconnected.
 	*/
 	readonly cancel: () => void;
 };
--- a/gateway/forwarding/src/forwarder-options.ts
+++ b/gateway/forwarding/src/forwarder-options.ts
@@ -16,7 +16,8 @@
 	readonly budget: RetryBudget;
 	readonly waits: UsualWaits;
 	/**
-	Told once of each request that began to run: when, in milliseconds on the steady clock, and for which client account.
+	Called once for each request that started to run, with its client account's name (empty without one) and the time in
+	milliseconds on the monotonic clock.
 	*/
 	readonly onStarted?: (account: string, at: number) => void;
 	readonly admission: AdmissionSettings;
--- a/gateway/forwarding/src/forwarder.ts
+++ b/gateway/forwarding/src/forwarder.ts
@@ -3,12 +3,12 @@
 import type {Reply} from './reply.ts';
 
 /**
-Carries requests to endpoints and their answers back.
+Forwards requests to endpoints and their answers to callers.
 */
 export type Forwarder = {
 	readonly forward: (request: ForwardRequest, reply: Reply) => ForwardTask;
 	/**
-	Requests on their way.
+	Number of requests that are being forwarded.
 	*/
 	readonly countOpen: () => number;
 };
--- a/gateway/forwarding/src/get-progress-timeouts.ts
+++ b/gateway/forwarding/src/get-progress-timeouts.ts
@@ -1,21 +1,21 @@
 import type {Route} from '@valvesaddle/gateway-types';
 
 /**
-Part of the latency objective after which an endpoint that has not begun to answer is taken for stuck.
+Share of the latency objective after which an endpoint that has not sent its first byte is considered stalled.
 */
 const objectiveShare = 0.6;
 /**
-Factor on the predicted time to the first byte below which an endpoint is never taken for stuck.
+Multiple of the predicted time to the first byte before which an endpoint is never considered stalled.
 */
 const predictedFactor = 3;
 /**
-Pauses within a stream, in pause objectives and in milliseconds, after which its endpoint is taken for stuck.
+Pause between chunks after which an endpoint is considered stalled: a multiple of the pause objective, and a minimum.
 */
 const pauseTimeoutFactor = 4;
 const minimumPauseTimeoutMs = 700;
 
 /**
-How long an endpoint may be silent, in milliseconds, before a request that may be repeated goes elsewhere.
+Timeouts in milliseconds after which a retryable request is sent to another endpoint: for the first byte, and between chunks.
 */
 type ProgressTimeouts = {
 	readonly firstByteMs: number;
@@ -23,12 +23,12 @@
 };
 
 /**
- Tells how long to wait for an endpoint's first byte and between pieces.
+ Gets the timeouts for an endpoint's first byte and between chunks.
 
- @param route - Sets the objectives.
- @param predictedMs - Predicted time to the first byte; 0 when nothing is predicted.
+ @param route - Source of the objectives.
+ @param predictedMs - Predicted time to the first byte; 0 without a prediction.
  @example
- getPatience({...route, latencyObjectiveMs: 300}, 0).firstMs; // 180
+ getProgressTimeouts({...route, latencyObjectiveMs: 300}, 0).firstByteMs; // 180
  */
 export function getProgressTimeouts(route: Route, predictedMs: number): ProgressTimeouts {
 	return {
--- a/gateway/forwarding/src/is-retryable.ts
+++ b/gateway/forwarding/src/is-retryable.ts
@@ -1,10 +1,10 @@
 import type {Route} from '@valvesaddle/gateway-types';
 
 /**
- Tells whether a request that may have run may run again: safe ones, and streams that can be taken up elsewhere.
+ Whether a request that may have run may be run again: safe requests and resumable streams.
 
  @example
- isRepeatable({...route, kind: 'unsafe'}); // false
+ isRetryable({...route, kind: 'unsafe'}); // false
  */
 export function isRetryable(route: Route): boolean {
 	return route.kind === 'safe' || (route.kind === 'stream' && route.isResumable);
--- a/gateway/forwarding/src/progress-timer.ts
+++ b/gateway/forwarding/src/progress-timer.ts
@@ -1,9 +1,9 @@
 /**
-Waits for a sign of life, and is told of each one.
+Timer that is restarted by each chunk of an answer.
 */
 export type ProgressTimer = {
 	/**
-	Begins to wait anew, for so many milliseconds.
+	Starts or restarts the timer with a timeout in milliseconds.
 	*/
 	readonly start: (milliseconds: number) => void;
 	readonly stop: () => void;
--- a/gateway/forwarding/src/rank-urgency.ts
+++ b/gateway/forwarding/src/rank-urgency.ts
@@ -1,17 +1,17 @@
 import type {GatewayAccount, Route} from '@valvesaddle/gateway-types';
 
 /**
-Ranks within one rank of routes: two of client accounts, and the last for requests that cannot be in time.
+Ranks for each route priority: two for client account priorities, and the last for requests that will miss their latency objective.
 */
 const ranksPerPriority = 3;
 
 /**
- Rank of a request at an endpoint, 0 first: by its route, and by the client account among requests of equal routes. By the
- account first, the drafts of a favoured account would preempt the urgent questions of all others.
+ Ranks a request for an endpoint; 0 is the most urgent. The route's priority comes before the client account's, so that
+ low-priority requests of a preferred account do not preempt urgent ones of other accounts.
 
  @param route - The request's route.
  @param account - The client account; `undefined` for a public route.
- @param isLate - Whether the request cannot be in time.
+ @param isLate - Whether the request is expected to miss its latency objective.
  @example
  rankUrgency({...route, priority: 2}, {name: 'sawmill', keyHashes: [], priority: 1}, false); // 7
  */
--- a/gateway/forwarding/src/refusals.ts
+++ b/gateway/forwarding/src/refusals.ts
@@ -1,23 +1,23 @@
 import type {ValvesaddleError} from '@valvesaddle/error';
 
 /**
-Final refusals and failures of one request, with when its caller may come back.
+Builds the final error of one request, with its Retry-After.
 */
 export type Refusals = {
 	/**
-	No endpoint is left after so many tries.
+	No endpoint is available after this number of attempts.
 	*/
-	readonly buildNoEndpoint: (tries: number) => ValvesaddleError;
+	readonly buildNoEndpoint: (attempts: number) => ValvesaddleError;
 	/**
-	The request would be late.
+	The request would miss its latency objective.
 	*/
 	readonly buildOverloaded: (predictedMs: number, retryAfterMs: number) => ValvesaddleError;
 	/**
-	The time of the route or of the caller is over.
+	The timeout of the route or of the caller has expired.
 	*/
 	readonly buildTimeout: (waitMs: number, wasSent: boolean) => ValvesaddleError;
 	/**
-	The last endpoint failed, and no other may be tried.
+	The last attempt failed, and the request may not be retried.
 	*/
 	readonly buildFailure: (reason: string, wasSent: boolean) => ValvesaddleError;
 };
--- a/gateway/forwarding/src/reply.ts
+++ b/gateway/forwarding/src/reply.ts
@@ -1,28 +1,28 @@
 import type {ValvesaddleError} from '@valvesaddle/error';
 
 /**
-Where the one final answer of a request goes.
+Writes the final answer of a request to its caller.
 */
 export type Reply = {
 	/**
-	Answers whole.
+	Sends a complete answer.
 	*/
 	readonly answer: (status: number, headers: string[], body: Uint8Array) => void;
 	/**
-	Begins an answer that comes in pieces.
+	Sends the head of a streamed answer.
 	*/
 	readonly start: (status: number, headers: string[]) => void;
 	/**
-	Writes a piece; `false` when the caller reads more slowly, until `onDrain` is called.
+	Writes a chunk; returns `false` under backpressure, until the `onDrain` callback is called.
 	*/
 	readonly write: (bytes: Uint8Array) => boolean;
 	readonly onDrain: (resume: () => void) => void;
 	/**
-	Ends an answer that came in pieces.
+	Ends a streamed answer.
 	*/
 	readonly end: () => void;
 	/**
-	Breaks an answer off, so that it cannot be taken for whole.
+	Closes the connection within an answer, so that the caller sees it as incomplete.
 	*/
 	readonly abort: () => void;
 	readonly refuse: (error: ValvesaddleError) => void;
--- a/gateway/forwarding/src/request-recorder.ts
+++ b/gateway/forwarding/src/request-recorder.ts
@@ -3,27 +3,27 @@
 import type {AttemptFailure} from './attempt-failure.ts';
 
 /**
-What an endpoint says of itself in an answer.
+Cooldown or draining signal in the headers of an endpoint's answer.
 */
 type Notice = Pick<AnswerFacts, 'retryAfterMs' | 'isLeaving'>;
 
 /**
-Lines and figures of one request.
+Writes the log lines and metrics of one request.
 */
 export type RequestRecorder = {
 	/**
-	The request goes to an endpoint, as its `attempt`-th try.
+	Records that the request is sent to an endpoint; attempts are numbered from 1.
 	*/
 	readonly recordSent: (selection: Selection, attempt: number, remainingMs: number) => void;
 	readonly recordNotice: (endpoint: KnownEndpoint, status: number, notice: Notice) => void;
 	readonly recordFailure: (failure: AttemptFailure, attempt: number, isRetried: boolean) => void;
 	/**
-	No endpoint is left; `cooldownMs` until the first takes requests again.
+	Records that no endpoint is available; `cooldownMs` is the time until the first cooldown expires.
 	*/
-	readonly recordNoEndpoint: (tries: number, cooldownMs: number) => void;
+	readonly recordNoEndpoint: (attempts: number, cooldownMs: number) => void;
 	readonly recordChunk: () => void;
 	/**
-	The one final outcome, with the status that the caller got.
+	Records the final outcome, with the status sent to the caller; 0 if none was sent.
 	*/
-	readonly recordEnd: (outcome: string, status: number, counts: {readonly tries: number; readonly runs: number}) => void;
+	readonly recordEnd: (outcome: string, status: number, counts: {readonly attempts: number; readonly runs: number}) => void;
 };
--- a/gateway/forwarding/test/decisions.test.ts
+++ b/gateway/forwarding/test/decisions.test.ts
@@ -14,11 +14,11 @@
 	name: 'r', host: 'h', prefix: '/', kind: 'safe', timeoutMs: 4000, latencyObjectiveMs: 300, priority: 1, targets: [], maximumAttempts: 2, isPublic: false, isResumable: false, pauseObjectiveMs: 0,
 };
 
-const well: AnswerFacts = {
+const signedAnswer: AnswerFacts = {
 	requestId: 'a', isSigned: true, isNotRun: false, isEventStream: false, isEncoded: false, isMisdirected: false, retryAfterMs: undefined, isLeaving: false,
 };
 
-test('what may have run is repeated only where it may run twice, and within the attempts of its route', t => {
+test('a request that may have run is retried only if it is retryable, and within the attempts of its route', t => {
 	const cases: ReadonlyArray<readonly [kind: RouteKind, isResumable: boolean, mayHaveRun: boolean, runs: number, isAllowed: boolean]> = [
 		['safe', false, true, 1, true],
 		['safe', false, true, 2, false],
@@ -38,8 +38,8 @@
 	t.end();
 });
 
-test('only an answer that an endpoint vouches for, to this request, is passed on', t => {
-	const cases: ReadonlyArray<readonly [status: number, change: Partial<AnswerFacts>, verdict: string]> = [
+test('only a signed answer to this request is sent to the caller', t => {
+	const cases: ReadonlyArray<readonly [status: number, change: Partial<AnswerFacts>, answerClass: string]> = [
 		[200, {}, 'whole'],
 		[200, {isEventStream: true}, 'stream'],
 		[204, {isSigned: false}, 'untrusted'],
@@ -61,14 +61,14 @@
 		[421, {isNotRun: true, isMisdirected: true}, 'misdirected'],
 		[503, {isNotRun: true, requestId: 'b'}, 'untrusted'],
 	];
-	for (const [status, change, verdict] of cases) {
-		t.equal(classifyAnswer(status, {...well, ...change}, 'a'), verdict, `${status} ${JSON.stringify(change)}`);
+	for (const [status, change, answerClass] of cases) {
+		t.equal(classifyAnswer(status, {...signedAnswer, ...change}, 'a'), answerClass, `${status} ${JSON.stringify(change)}`);
 	}
 
 	t.end();
 });
 
-test('patience follows the objective, but never falls below what was predicted', t => {
+test('progress timeouts follow the objectives, but not below a multiple of the predicted time', t => {
 	t.equal(getProgressTimeouts(route, 0).firstByteMs, 180);
 	t.equal(getProgressTimeouts(route, 500).firstByteMs, 1500);
 	t.equal(getProgressTimeouts({...route, pauseObjectiveMs: 120}, 0).pauseMs, 700);
@@ -76,7 +76,7 @@
 	t.end();
 });
 
-test('targets are drawn by weight, and one without weight never', t => {
+test('targets are drawn by weight, and one with weight 0 is never drawn', t => {
 	const targets = [{pool: 'a', weight: 90}, {pool: 'b', weight: 10}, {pool: 'c', weight: 0}];
 	t.equal(pickTarget(targets, 0)?.pool, 'a');
 	t.equal(pickTarget(targets, 0.899)?.pool, 'a');
@@ -86,17 +86,17 @@
 	t.end();
 });
 
-test('the route goes before the client account, and what is late behind all that is not, within its route', t => {
+test('urgency is ranked by route, then by client account; late requests rank last within their route', t => {
 	const order: ReadonlyArray<readonly [account: number | undefined, priority: number, isLate: boolean]> = [
 		[undefined, 0, false], [1, 0, false], [0, 0, true], [0, 1, false], [1, 1, false], [1, 1, true], [0, 2, false], [1, 2, false], [0, 2, true],
 	];
 	const ranks = order.map(([priority, routePriority, isLate]) => rankUrgency({...route, priority: routePriority}, {name: 'a', keyHashes: [], priority}, isLate));
 	t.same(ranks, ranks.toSorted((a, b) => a - b));
-	t.equal(new Set(ranks).size, ranks.length, 'none is like another');
+	t.equal(new Set(ranks).size, ranks.length, 'every rank is different');
 	t.end();
 });
 
-test('what an endpoint lost goes on at its own rank, what was not sent yet is refused when it is late', t => {
+test('a retry after a failed endpoint keeps its urgency; a late request that was not sent yet is refused', t => {
 	const options = {
 		waits: createUsualWaits(),
 		admission: {lateFactor: 1.3, waitFactor: 0.5, returnFactor: 1.5},
@@ -113,7 +113,7 @@
 	const late = {costMs: 2000, readMs: 100};
 	t.equal(admitter.decide(late, true).kind, 'send');
 	t.equal(admitter.decide(late, false).kind, 'refuse');
-	t.equal(createAdmitter(options, request, 4000).decide(late, false).kind, 'send-late', 'its caller has come back');
+	t.equal(createAdmitter(options, request, 4000).decide(late, false).kind, 'send-late', 'the caller has retried');
 	t.equal(createAdmitter(options, {...request, isEnginePool: false}, 6000).decide(late, false).kind, 'send');
 	t.end();
 });
--- a/gateway/forwarding/test/progress-timer.test.ts
+++ b/gateway/forwarding/test/progress-timer.test.ts
@@ -1,6 +1,5 @@
 /*
-A stream brings a sign of life with each of its events; a wait for the next one sets no timer anew for each of them, and ends at the
-same moment as if it did.
+The progress timer doesn't set a new timer on each restart; it must expire at the same time as if it did.
 */
 import {Clock} from 'clock-mock';
 import fc from 'fast-check';
@@ -8,43 +7,43 @@
 import {createProgressTimer} from '../src/create-progress-timer.ts';
 
 /**
-Millisecond by millisecond, so that what comes due sees its own time.
+Advances millisecond by millisecond, so that each timer runs at its own time.
 */
-function runFor(clock: Clock, milliseconds: number): void {
+function advanceClock(clock: Clock, milliseconds: number): void {
 	for (let count = 0; count < milliseconds; count++) {
 		clock.advance(1);
 	}
 }
 
-test('the wait ends when no sign came for as long as the last one allowed', t => {
-	fc.assert(fc.property(fc.array(fc.record({afterMs: fc.integer({min: 1, max: 900}), waitMs: fc.integer({min: 50, max: 800})}), {minLength: 1, maxLength: 20}), signs => {
+test('the timer expires when it was not restarted within its last timeout', t => {
+	fc.assert(fc.property(fc.array(fc.record({afterMs: fc.integer({min: 1, max: 900}), timeoutMs: fc.integer({min: 50, max: 800})}), {minLength: 1, maxLength: 20}), restarts => {
 		const clock = new Clock();
 		const exit = clock.enter();
 		try {
 			const startedAt = performance.now();
-			let endedAt: number | undefined;
-			let endedLength = 0;
-			const patience = createProgressTimer(milliseconds => {
-				endedAt ??= performance.now();
-				endedLength ||= milliseconds;
+			let expiredAt: number | undefined;
+			let expiredTimeoutMs = 0;
+			const progressTimer = createProgressTimer(milliseconds => {
+				expiredAt ??= performance.now();
+				expiredTimeoutMs ||= milliseconds;
 			});
 			let expectedAt = Infinity;
-			let expectedLength = 0;
+			let expectedTimeoutMs = 0;
 			let now = 0;
-			for (const {afterMs, waitMs} of signs) {
+			for (const {afterMs, timeoutMs} of restarts) {
 				now += afterMs;
 				if (now >= expectedAt) {
 					break;
 				}
 
-				runFor(clock, afterMs);
-				patience.start(waitMs);
-				expectedAt = now + waitMs;
-				expectedLength = waitMs;
+				advanceClock(clock, afterMs);
+				progressTimer.start(timeoutMs);
+				expectedAt = now + timeoutMs;
+				expectedTimeoutMs = timeoutMs;
 			}
 
-			runFor(clock, 1000);
-			return Math.abs(endedAt! - startedAt - expectedAt) <= 1 && endedLength === expectedLength;
+			advanceClock(clock, 1000);
+			return Math.abs(expiredAt! - startedAt - expectedAt) <= 1 && expiredTimeoutMs === expectedTimeoutMs;
 		} finally {
 			exit();
 		}
@@ -52,20 +51,20 @@
 	t.end();
 });
 
-test('a wait that was stopped ends no more, and one after it does', t => {
+test('a stopped timer does not expire, and expires after it is started again', t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
-	let ends = 0;
-	const patience = createProgressTimer(() => {
-		ends++;
+	let expirations = 0;
+	const progressTimer = createProgressTimer(() => {
+		expirations++;
 	});
-	patience.start(100);
+	progressTimer.start(100);
 	clock.advance(50);
-	patience.stop();
+	progressTimer.stop();
 	clock.advance(500);
-	t.equal(ends, 0);
-	patience.start(30);
+	t.equal(expirations, 0);
+	progressTimer.start(30);
 	clock.advance(30);
-	t.equal(ends, 1);
+	t.equal(expirations, 1);
 	t.end();
 });
