--- a/gateway/front/src/connection-guard.ts
+++ b/gateway/front/src/connection-guard.ts
@@ -2,19 +2,19 @@
 import type {Duplex} from 'node:stream';
 
 /**
-Keeps the HTTP server's own answers away from connections on which a request still waits for its answer.
+Handles connection errors so that the HTTP server's own error responses are not written while another answer is open.
 */
 export type ConnectionGuard = {
 	/**
-	Notes a request whose answer is open from now on.
+	Adds a request whose answer is open from now on.
 	*/
 	readonly add: (request: IncomingMessage, response: ServerResponse) => void;
 	/**
-	Whether a connection is closed as soon as the answers that were open on it have ended.
+	Whether a connection will be closed as soon as its open answers have ended.
 	*/
 	readonly isEnding: (socket: Duplex) => boolean;
 	/**
-	Takes what the server says of a connection: it broke, or brought what cannot be read or came too slowly.
+	Handles the server's `clientError` event: a connection failed, or a request on it is malformed or arrives too slowly.
 	*/
 	readonly handleError: (error: NodeJS.ErrnoException, socket: Duplex) => void;
 };
--- a/gateway/front/src/count-header-bytes.ts
+++ b/gateway/front/src/count-header-bytes.ts
@@ -1,12 +1,12 @@
 import type {IncomingMessage} from 'node:http';
 
 /**
-The bytes between and after a name and a value: colon, space and line end.
+Bytes that each header adds to its name and value: colon, space and line end.
 */
 const separatorBytes = 4;
 
 /**
- Bytes of a request's headers as they came over the connection.
+ Counts the bytes of a request's headers as received.
 
  @example
  countHeaderBytes(request); // 412
--- a/gateway/front/src/create-connection-guard.ts
+++ b/gateway/front/src/create-connection-guard.ts
@@ -5,18 +5,18 @@
 import {getParserStatus} from './get-parser-status.ts';
 
 /**
-How long a connection on which a request could not be read stays open for the caller to close it, in milliseconds. Closing at
-once would reset it while it still brings bytes, and the answer could be lost.
+How long a connection with an unreadable request stays open for the caller to close it, in milliseconds. Closing it immediately
+would reset it if more data arrives, and the caller could lose the answer.
 */
 const lingerMs = 500;
 /**
-Code for a connection that its caller ended within a request.
+Parser's error code for a connection that the caller closed within a request.
 */
 const callerEndedCode = 'HPE_INVALID_EOF_STATE';
 
 /**
- Creates the guard of callers' connections. The answers that are open on a connection end before it is closed; only where none
- is open the parser's own status is answered.
+ Creates the guard of callers' connections. After an error, the open answers of a connection are completed before it is closed.
+ The parser's error status is sent only if no answer is open.
 
  @example
  const guard = createConnectionGuard({logger, metrics});
@@ -24,13 +24,13 @@
  */
 export function createConnectionGuard({logger, metrics}: Pick<FrontOptions, 'logger' | 'metrics'>): ConnectionGuard {
 	/**
-	Requests whose answers are open, in the order in which they came.
+	Requests with open answers, in order of arrival.
 	*/
 	const open = new WeakMap<Duplex, Map<ServerResponse, IncomingMessage>>();
 	const ending = new WeakSet<Duplex>();
 
 	/**
-	A request that is not whole will never be, so unless its refusal is on the way nothing of it is open.
+	Lists the open answers. An incomplete request will not be completed after an error, so it counts only if its refusal is being sent.
 	*/
 	function listOpen(socket: Duplex): ServerResponse[] {
 		return [...open.get(socket) ?? []]
@@ -56,7 +56,7 @@
 	}
 
 	/**
-	Answers go out in order, so the last one ends the connection.
+	Closes the connection after the last open answer, since answers are sent in order.
 	*/
 	function closeAfter(response: ServerResponse, socket: Duplex): void {
 		response.shouldKeepAlive = false;
@@ -81,11 +81,11 @@
 			const answers = listOpen(socket);
 			const last = answers.at(-1);
 			if (last !== undefined && error.code === callerEndedCode) {
-				// The caller has left: its runs are to end, as when it leaves between two requests.
+				// The caller has disconnected, so its open requests are cancelled.
 				socket.end();
 			}
 
-			// The parser repeats its error for whatever comes after it; the first one has its line.
+			// The parser repeats its error for all further data; only the first one is logged.
 			if (ending.has(socket)) {
 				return;
 			}
@@ -94,7 +94,7 @@
 			const status = last === undefined && socket.writable ? getParserStatus(error.code ?? '') : undefined;
 			record(error, answers.length, status);
 			if (status !== undefined) {
-				// Written over an open answer it would be taken for that of a request that runs.
+				// Sent only if no answer is open; otherwise the caller would read it as the answer of an earlier request.
 				sendParserStatus(socket, status);
 			} else if (last !== undefined) {
 				closeAfter(last, socket);
--- a/gateway/front/src/create-front.ts
+++ b/gateway/front/src/create-front.ts
@@ -12,32 +12,32 @@
 import {sendRefusal} from './send-refusal.ts';
 
 /**
-When a caller may come back to a node that has no configuration yet, or perhaps not the newest, in milliseconds.
+Retry-After of a node that has no configuration, or possibly a stale one, in milliseconds.
 */
 const notReadyRetryMs = 300;
 /**
-Largest head that the parser takes, in bytes; the configuration's limit is checked besides.
+Parser's limit for request headers, in bytes. The configuration's own limit is checked after parsing.
 */
 const maximumHeadBytes = 128 * 1024;
 /**
-How often connections are checked for heads that take too long, in milliseconds.
+Interval of the check for request headers that exceed their timeout, in milliseconds.
 */
 const headerCheckIntervalMs = 500;
 /**
-How often a node that leaves closes connections that have become idle, in milliseconds.
+Interval at which a draining node closes idle connections, in milliseconds.
 */
 const idleCheckIntervalMs = 100;
 
 /**
-What is denied since the configuration does not allow it.
+Codes of errors that depend on the configuration: a newer one may allow the request.
 */
 const deniedCodes: ReadonlySet<string> = new Set([
 	'ERR_VALVESADDLE_NO_ROUTE', 'ERR_VALVESADDLE_UNAUTHENTICATED', 'ERR_VALVESADDLE_HEADERS_TOO_LARGE', 'ERR_VALVESADDLE_BODY_TOO_LARGE',
 ]);
 
 /**
- Creates the front: it reads a request within the limits, asks the configuration for its route and client account, and
- hands it to the forwarder.
+ Creates the gateway's HTTP server for callers. It reads requests within the limits, resolves their route and client account,
+ and hands them to the forwarder.
 
  @example
  const front = createFront(options);
@@ -48,7 +48,7 @@
 	const server = createServer({
 		maxHeaderSize: maximumHeadBytes, requestTimeout: 0, noDelay: true, connectionsCheckingInterval: headerCheckIntervalMs,
 	});
-	// Routes come from the configuration, so every path takes the default route.
+	// The gateway's routes come from its configuration, so every path uses restana's default route.
 	restana({
 		server,
 		defaultRoute(request: IncomingMessage, response: ServerResponse) {
@@ -67,36 +67,36 @@
 		logger.info({
 			name: 'request-refused', request: requestId, code: error.code, reason: error.message, version: options.routes()?.version,
 		});
-		// A body that was not read would be taken for the next request.
+		// The connection is closed after an unread body, which would be parsed as the next request.
 		sendRefusal(response, error, options.isLeaving() || !request.complete);
 	}
 
 	/**
-	A newer configuration may allow what this one does not; callers do not repeat what was denied, so they are asked to come back.
+	Makes a denial retryable while the configuration may be stale, since a newer one may allow the request.
 	*/
 	function toCallerError(error: ValvesaddleError): ValvesaddleError {
 		return !deniedCodes.has(error.code) || options.isCurrent() ? error : new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', `the configuration may be out of date: ${error.message}`, {retryAfterMs: notReadyRetryMs});
 	}
 
 	function buildRequest(request: IncomingMessage, arrivedAt: number): Omit<ForwardRequest, 'body'> {
-		// A kept connection may bring it when too little of the grace time is left for its answer.
+		// A request on a kept-alive connection may arrive when too little grace time is left to answer it.
 		if (isDraining) {
-			throw new ValvesaddleError('ERR_VALVESADDLE_DRAINING', 'it came after the balancer had time to send callers elsewhere', {retryAfterMs: 0});
+			throw new ValvesaddleError('ERR_VALVESADDLE_DRAINING', 'the node is draining and accepts no new requests', {retryAfterMs: 0});
 		}
 
-		// Its answer might never be written, so it must not run.
+		// The answer might not be written, so the request must not run.
 		if (guard.isEnding(request.socket)) {
-			throw new ValvesaddleError('ERR_VALVESADDLE_CONNECTION_ENDING', 'its connection is about to be closed', {retryAfterMs: 0});
+			throw new ValvesaddleError('ERR_VALVESADDLE_CONNECTION_ENDING', 'the connection is about to be closed', {retryAfterMs: 0});
 		}
 
 		const index = options.routes();
 		if (index === undefined) {
-			throw new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'no configuration is known yet', {retryAfterMs: notReadyRetryMs});
+			throw new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'no configuration has been loaded yet', {retryAfterMs: notReadyRetryMs});
 		}
 
 		const {headerBytes} = options.limits();
 		if (countHeaderBytes(request) > headerBytes) {
-			throw new ValvesaddleError('ERR_VALVESADDLE_HEADERS_TOO_LARGE', `over ${headerBytes} bytes`);
+			throw new ValvesaddleError('ERR_VALVESADDLE_HEADERS_TOO_LARGE', `headers exceed ${headerBytes} bytes`);
 		}
 
 		const path = request.url ?? '';
@@ -104,12 +104,12 @@
 			throw new ValvesaddleError('ERR_VALVESADDLE_MALFORMED_REQUEST', 'the path does not begin with a slash');
 		}
 
-		const facts = options.wire.readRequest(request.headers);
+		const metadata = options.wire.readRequest(request.headers);
 		const route = unwrapResult(index.findRoute(request.headers.host ?? '', path));
-		const account = unwrapResult(index.authenticate(route, facts.apiKey));
+		const account = unwrapResult(index.authenticate(route, metadata.apiKey));
 		const pool = pickTarget(route.targets, Math.random())?.pool ?? '';
 		return {
-			metadata: facts, route, version: index.version, account, pool, isEnginePool: index.findPool(pool)?.engine !== undefined,
+			metadata, route, version: index.version, account, pool, isEnginePool: index.findPool(pool)?.engine !== undefined,
 			method: request.method ?? 'GET', path, rawHeaders: request.rawHeaders, arrivedAt,
 		};
 	}
@@ -149,7 +149,7 @@
 		async drain() {
 			isDraining = true;
 			const {promise, resolve} = Promise.withResolvers<void>();
-			// A connection whose answer had begun before is idle only later.
+			// Connections with open answers become idle later.
 			const timer = setInterval(() => {
 				server.closeIdleConnections();
 			}, idleCheckIntervalMs);
--- a/gateway/front/src/create-reply.ts
+++ b/gateway/front/src/create-reply.ts
@@ -5,7 +5,7 @@
 import {sendRefusal} from './send-refusal.ts';
 
 /**
- Creates the reply to a caller over its connection.
+ Creates the reply to a caller over its HTTP connection.
 
  @example
  const reply = createReply(response, () => false);
@@ -45,8 +45,8 @@
 }
 
 /**
-The connection, once its turn is this answer's and the head has gone out. A piece is then one write in place of the three that
-the HTTP server makes of it: length, bytes and end of line.
+Finds the socket once the head is sent and no earlier answer is open on the connection. Each chunk is then one write, instead of
+three by the HTTP server: length, data and line end.
 */
 function findWritableSocket({chunkedEncoding, socket, headersSent}: ServerResponse): Socket | undefined {
 	return headersSent && chunkedEncoding && socket?.writable === true ? socket : undefined;
--- a/gateway/front/src/format-chunk.ts
+++ b/gateway/front/src/format-chunk.ts
@@ -4,7 +4,7 @@
 const hexadecimal = 16;
 
 /**
- Frames a piece of a body for the chunked transfer coding of HTTP/1.1.
+ Encodes a chunk of a body for HTTP/1.1's chunked transfer coding.
 
  @example
  String(formatChunk(Buffer.from('ok'))); // '2\r\nok\r\n'
--- a/gateway/front/src/front-options.ts
+++ b/gateway/front/src/front-options.ts
@@ -13,19 +13,19 @@
 	readonly wire: WireFormat;
 	readonly forwarder: Forwarder;
 	/**
-	Configuration in force; `undefined` while none is known.
+	Routes of the current configuration; `undefined` until one is loaded.
 	*/
 	readonly routes: () => RouteIndex | undefined;
 	/**
-	Limits for callers, before a configuration is known and after.
+	Limits for callers; defaults until a configuration is loaded.
 	*/
 	readonly limits: () => CallerLimits;
 	/**
-	Whether the configuration is the newest as far as can be told, so that what it does not allow may be denied.
+	Whether the configuration is current as far as the node can determine, so that denials are final.
 	*/
 	readonly isCurrent: () => boolean;
 	/**
-	Whether the node is about to leave, so that callers are told to close their connections.
+	Whether the node is shutting down, so that answers ask callers to close their connections.
 	*/
 	readonly isLeaving: () => boolean;
 	readonly logger: Logger;
--- a/gateway/front/src/front.ts
+++ b/gateway/front/src/front.ts
@@ -1,18 +1,21 @@
 /**
-The HTTP front of a gateway node.
+HTTP server of a gateway node for callers.
 */
 export type Front = {
+	/**
+	Starts the server and returns its address.
+	*/
 	readonly listen: () => Promise<string>;
 	/**
-	Takes over new limits.
+	Applies the current limits.
 	*/
 	readonly configure: () => void;
 	/**
-	Takes no new connections, closes idle ones, and resolves when the others have ended.
+	Accepts no new connections, closes idle ones, and resolves when all are closed.
 	*/
 	readonly drain: () => Promise<void>;
 	/**
-	Ends every connection at once.
+	Closes all connections immediately.
 	*/
 	readonly closeNow: () => void;
 };
--- a/gateway/front/src/get-parser-status.ts
+++ b/gateway/front/src/get-parser-status.ts
@@ -1,5 +1,5 @@
 /**
-Statuses of the parser's errors that are not plainly bytes that HTTP/1.1 does not allow.
+Statuses of parser errors other than malformed HTTP/1.1.
 */
 const statuses: ReadonlyMap<string, number> = new Map([
 	['ERR_HTTP_REQUEST_TIMEOUT', 408],
@@ -8,7 +8,7 @@
 ]);
 
 /**
- Gets the status for a request that the parser could not read.
+ Gets the HTTP status for a request that could not be parsed.
 
  @example
  getParserStatus('HPE_HEADER_OVERFLOW'); // 431
--- a/gateway/front/src/read-whole-body.ts
+++ b/gateway/front/src/read-whole-body.ts
@@ -5,14 +5,14 @@
 /**
  Reads the body of a request.
 
- @throws `ERR_VALVESADDLE_BODY_TOO_LARGE` above the limit, `ERR_VALVESADDLE_CANCELLED` when the caller goes away meanwhile.
+ @throws `ERR_VALVESADDLE_BODY_TOO_LARGE` above the limit, `ERR_VALVESADDLE_CANCELLED` when the caller disconnects.
  @example
  const body = await readWholeBody(request, 4_194_304);
  */
 export async function readWholeBody(request: IncomingMessage, limitBytes: number): Promise<Uint8Array | undefined> {
 	const announced = Number(request.headers['content-length'] ?? 0);
 	if (announced > limitBytes) {
-		throw new ValvesaddleError('ERR_VALVESADDLE_BODY_TOO_LARGE', `${announced} bytes announced, ${limitBytes} allowed`);
+		throw new ValvesaddleError('ERR_VALVESADDLE_BODY_TOO_LARGE', `body of ${announced} bytes, ${limitBytes} allowed`);
 	}
 
 	if (announced === 0 && request.headers['transfer-encoding'] === undefined) {
@@ -25,7 +25,7 @@
 	request.on('data', (chunk: Uint8Array) => {
 		bytes += chunk.length;
 		if (bytes > limitBytes) {
-			reject(new ValvesaddleError('ERR_VALVESADDLE_BODY_TOO_LARGE', `over ${limitBytes} bytes`));
+			reject(new ValvesaddleError('ERR_VALVESADDLE_BODY_TOO_LARGE', `body exceeds ${limitBytes} bytes`));
 			return;
 		}
 
@@ -35,12 +35,12 @@
 		resolve(Buffer.concat(chunks));
 	});
 	request.once('close', () => {
-		// Each request ends so; an error is dear to make.
+		// This runs for every request, and creating an error is expensive.
 		if (request.complete) {
 			return;
 		}
 
-		reject(new ValvesaddleError('ERR_VALVESADDLE_CANCELLED', 'the caller went away within the body'));
+		reject(new ValvesaddleError('ERR_VALVESADDLE_CANCELLED', 'the caller disconnected while sending the body'));
 	});
 	return promise;
 }
--- a/gateway/front/src/send-refusal.ts
+++ b/gateway/front/src/send-refusal.ts
@@ -5,7 +5,7 @@
 const msPerSecond = 1000;
 
 /**
- Answers with an error: its status, when to come back, and a body that says what is known about the run.
+ Answers with an error: its status, Retry-After, and a body that states whether the request may have run.
 
  @example
  sendRefusal(response, new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'no configuration yet'), false);
--- a/gateway/front/test/reply.test.ts
+++ b/gateway/front/test/reply.test.ts
@@ -1,6 +1,6 @@
 /*
-Pieces of an answer go out as one write each, past the HTTP server's own. Whatever their number, sizes and moments, a caller reads the
-same bytes as from the server's own writes, a slow one holds the writer back, and answers on one connection keep their order.
+Chunks are written to the socket directly, bypassing the HTTP server. Callers must still receive the same bytes, apply backpressure,
+and get pipelined answers in order.
 */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
@@ -29,32 +29,32 @@
 }
 
 async function readBody(port: number): Promise<Uint8Array> {
-	const asked = request({port, host: '127.0.0.1'});
-	asked.end();
-	const [answer] = await once(asked, 'response') as [IncomingMessage];
-	const pieces: Uint8Array[] = [];
-	for await (const piece of answer) {
-		pieces.push(piece as Uint8Array);
+	const sentRequest = request({port, host: '127.0.0.1'});
+	sentRequest.end();
+	const [answer] = await once(sentRequest, 'response') as [IncomingMessage];
+	const chunks: Uint8Array[] = [];
+	for await (const chunk of answer) {
+		chunks.push(chunk as Uint8Array);
 	}
 
-	return Buffer.concat(pieces);
+	return Buffer.concat(chunks);
 }
 
-test('a caller reads what was written, however it was cut into pieces', async t => {
-	let pieces: readonly Uint8Array[] = [];
-	let turns: readonly boolean[] = [];
+test('a caller receives what was written, however it was split into chunks', async t => {
+	let chunks: readonly Uint8Array[] = [];
+	let delays: readonly boolean[] = [];
 	const port = await startServer(t, (_request, response) => {
 		const reply = createReply(response, () => false);
 		reply.start(200, ['content-type', 'text/event-stream']);
 		function writeFrom(index: number): void {
-			if (index === pieces.length) {
+			if (index === chunks.length) {
 				reply.end();
 				return;
 			}
 
-			reply.write(pieces[index]!);
-			const isLater = turns.at(index % turns.length);
-			if (isLater) {
+			reply.write(chunks[index]!);
+			const isDelayed = delays.at(index % delays.length);
+			if (isDelayed) {
 				setImmediate(() => {
 					writeFrom(index + 1);
 				});
@@ -65,16 +65,16 @@
 
 		writeFrom(0);
 	});
-	await fc.assert(fc.asyncProperty(fc.array(fc.uint8Array({minLength: 1, maxLength: 300}), {maxLength: 12}), fc.array(fc.boolean(), {minLength: 1, maxLength: 5}), async (drawn, drawnTurns) => {
-		pieces = drawn;
-		turns = drawnTurns;
+	await fc.assert(fc.asyncProperty(fc.array(fc.uint8Array({minLength: 1, maxLength: 300}), {maxLength: 12}), fc.array(fc.boolean(), {minLength: 1, maxLength: 5}), async (drawn, drawnDelays) => {
+		chunks = drawn;
+		delays = drawnDelays;
 		const body = await readBody(port);
 		return Buffer.concat(drawn).equals(body);
 	}), {numRuns: 60});
 });
 
-test('a caller that does not read holds the writer back, until it reads', async t => {
-	const piece = Buffer.alloc(64 * 1024, 'x');
+test('a caller that does not read causes backpressure until it reads', async t => {
+	const chunk = Buffer.alloc(64 * 1024, 'x');
 	let written = 0;
 	const {promise: full, resolve: markFull} = Promise.withResolvers<void>();
 	const {promise: drained, resolve: markDrained} = Promise.withResolvers<void>();
@@ -82,7 +82,7 @@
 		const reply = createReply(response, () => false);
 		reply.start(200, []);
 		written++;
-		while (reply.write(piece)) {
+		while (reply.write(chunk)) {
 			written++;
 		}
 
@@ -95,10 +95,10 @@
 	const body = readBody(port);
 	await full;
 	await drained;
-	t.equal((await body).length, written * piece.length);
+	t.equal((await body).length, written * chunk.length);
 });
 
-test('answers to requests that came together keep their order', async t => {
+test('answers to pipelined requests keep their order', async t => {
 	const replies: Array<ReturnType<typeof createReply>> = [];
 	const {promise: both, resolve} = Promise.withResolvers<void>();
 	const port = await startServer(t, (_request, response) => {
@@ -119,14 +119,14 @@
 	second!.write(Buffer.from(' and more'));
 	second!.end();
 	let text = '';
-	for await (const piece of socket) {
-		text += String(piece);
+	for await (const chunk of socket) {
+		text += String(chunk);
 	}
 
 	t.match(text, /5\r\nfirst\r\n0\r\n\r\nHTTP\/1\.1 200[\s\S]*6\r\nsecond\r\n9\r\n and more\r\n0\r\n\r\n$/v);
 });
 
-test('an answer to a caller that knows no chunks has none', async t => {
+test('an answer to an HTTP/1.0 caller is not chunked', async t => {
 	const port = await startServer(t, (_request, response) => {
 		const reply = createReply(response, () => false);
 		reply.start(200, []);
@@ -136,8 +136,8 @@
 	const socket = connect(port, '127.0.0.1');
 	socket.write('GET /a HTTP/1.0\r\n\r\n');
 	let text = '';
-	for await (const piece of socket) {
-		text += String(piece);
+	for await (const chunk of socket) {
+		text += String(chunk);
 	}
 
 	t.ok(text.endsWith('\r\n\r\nplain'));
