--- a/gateway/forwarding/src/create-refusals.ts
+++ b/gateway/forwarding/src/create-refusals.ts
@@ -30,7 +30,11 @@
 	}
 
 	return {
-		buildNoEndpoint: attempts => new ValvesaddleError(attempts === 0 ? 'ERR_VALVESADDLE_NO_ENDPOINT' : 'ERR_VALVESADDLE_ENDPOINTS_BUSY', `${attempts} endpoint(s) tried in pool ${pool}`, {retryAfterMs: drawRetryAfterMs()}),
+		buildNoEndpoint: attempts => new ValvesaddleError(
+			attempts === 0 ? 'ERR_VALVESADDLE_NO_ENDPOINT' : 'ERR_VALVESADDLE_ENDPOINTS_BUSY',
+			`${attempts} endpoint(s) tried in pool ${pool}`,
+			{retryAfterMs: drawRetryAfterMs()},
+		),
 		buildOverloaded: (predictedMs, retryAfterMs) => new ValvesaddleError('ERR_VALVESADDLE_OVERLOADED', `first token predicted after ${Math.round(predictedMs)} ms`, {retryAfterMs}),
 		buildTimeout: (waitMs, wasSent) => wasSent
 			? new ValvesaddleError('ERR_VALVESADDLE_TIMEOUT', `no answer after ${waitMs} ms`)
--- a/gateway/forwarding/src/create-request-recorder.ts
+++ b/gateway/forwarding/src/create-request-recorder.ts
@@ -58,7 +58,8 @@
 			metrics.increment('gateway.ended', 1, {outcome});
 			metrics.timing('gateway.total', elapsedMs);
 			logger.info({
-				name: 'request-ended', request: id, route: route.name, outcome, status, elapsedMs, firstByteMs: chunkTimer.firstMs(), longestPauseMs: chunkTimer.longestPauseMs(), pieces: chunkTimer.chunks(), tries: attempts, runs,
+				name: 'request-ended', request: id, route: route.name, outcome, status, elapsedMs,
+				firstByteMs: chunkTimer.firstMs(), longestPauseMs: chunkTimer.longestPauseMs(), pieces: chunkTimer.chunks(), tries: attempts, runs,
 			});
 		},
 	};
