--- a/gateway/forwarding/src/answer-writer.ts
+++ b/gateway/forwarding/src/answer-writer.ts
@@ -18,7 +18,7 @@
 	readonly write: (chunk: Uint8Array) => boolean;
 	readonly onDrain: (resume: () => void) => void;
 	/**
-	Id of the last event that was sent, after which the next run continues; -1 before the stream is started.
+	Id of the last event that was sent, after which the next run continues; -1 to use the caller's own `Last-Event-Id`.
 	*/
 	readonly lastEventId: () => number;
 	/**
