--- /dev/null
+++ b/gateway/exchange/test/event-stream-filter.test.ts
@@ -0,0 +1,38 @@
+import {Buffer} from 'node:buffer';
+import fc from 'fast-check';
+import {test} from 'tap';
+import {createEventStreamFilter} from '@valvesaddle/exchange';
+
+function formatEvent(id: number): string {
+	return `id: ${id}\ndata: piece ${id}\n\n`;
+}
+
+const whole = [0, 1, 2, 3, 4, 5].map(id => formatEvent(id)).join('');
+
+test('events are forwarded complete, once and in order, however the stream is split into chunks', t => {
+	fc.assert(fc.property(fc.array(fc.integer({min: 1, max: whole.length - 1}), {maxLength: 12}), cuts => {
+		const filter = createEventStreamFilter(-1);
+		const places = [0, ...cuts.toSorted((a, b) => a - b), whole.length];
+		const text = places.slice(1).map((end, index) => String(Buffer.from(filter.push(Buffer.from(whole.slice(places[index], end)))))).join('');
+		return text === whole && filter.lastEventId() === 5 && !filter.hasPartialEvent();
+	}));
+	t.end();
+});
+
+test('a second run continues after the last complete event: a partial one is discarded and none is forwarded twice', t => {
+	fc.assert(fc.property(fc.integer({min: 0, max: whole.length}), fc.integer({min: 0, max: 2}), (cut, again) => {
+		const filter = createEventStreamFilter(-1);
+		const first = String(Buffer.from(filter.push(Buffer.from(whole.slice(0, cut)))));
+		filter.discardPartialEvent();
+		const from = Math.max(0, filter.lastEventId() + 1 - again);
+		const rest = [0, 1, 2, 3, 4, 5].slice(from).map(id => formatEvent(id)).join('');
+		return first + String(Buffer.from(filter.push(Buffer.from(rest)))) === whole;
+	}));
+	t.end();
+});
+
+test('a stream that the caller resumes continues after its last event', t => {
+	const filter = createEventStreamFilter(3);
+	t.equal(String(Buffer.from(filter.push(Buffer.from(whole)))), formatEvent(4) + formatEvent(5));
+	t.end();
+});
--- a/gateway/forwarding/src/attempt-options.ts
+++ b/gateway/forwarding/src/attempt-options.ts
@@ -2,7 +2,7 @@
 import type {AnswerWriter} from './answer-writer.ts';
 import type {ForwardRequest} from './forward-request.ts';
 import type {ForwarderOptions} from './forwarder-options.ts';
-import type {RequestRecord} from './request-record.ts';
+import type {RequestRecorder} from './request-recorder.ts';
 
 /**
 Options of `createAttempt`.
@@ -12,13 +12,13 @@
 	readonly request: ForwardRequest;
 	readonly question: SelectionCriteria;
 	/**
-	The endpoint that was chosen.
+	The chosen endpoint.
 	*/
 	readonly selection: Selection;
 	readonly writer: AnswerWriter;
-	readonly record: RequestRecord;
+	readonly recorder: RequestRecorder;
 	/**
-	Time that is left for the request, in milliseconds.
+	Time until the request's deadline, in milliseconds.
 	*/
 	readonly remainingMs: number;
 };
--- a/gateway/forwarding/src/create-answer-writer.ts
+++ b/gateway/forwarding/src/create-answer-writer.ts
@@ -1,53 +1,53 @@
 import {Buffer} from 'node:buffer';
-import {createEventRelay} from '@valvesaddle/exchange';
+import {createEventStreamFilter} from '@valvesaddle/exchange';
 import type {WireFormat} from '@valvesaddle/gateway-types';
 import type {AnswerWriter} from './answer-writer.ts';
 import type {ForwardRequest} from './forward-request.ts';
 import type {Reply} from './reply.ts';
 
 type AnswerWriterOptions = {
-	readonly request: Pick<ForwardRequest, 'route' | 'facts'>;
+	readonly request: Pick<ForwardRequest, 'route' | 'metadata'>;
 	readonly reply: Reply;
 	readonly wire: Pick<WireFormat, 'writeAnswer'>;
 };
 
 /**
- Creates the writer of a request's answer. Of a stream that may be resumed it passes on whole events only, each once.
+ Creates the writer of a request's answer. Of a resumable stream it forwards complete events only, each once.
 
  @example
  const writer = createAnswerWriter({request, reply, wire});
- writer.begin(answer);
+ writer.start(answer);
  writer.write(chunk);
  */
-export function createAnswerWriter({request: {route, facts}, reply, wire}: AnswerWriterOptions): AnswerWriter {
-	const relay = route.kind === 'stream' && route.isResumable ? createEventRelay(facts.lastEventId) : undefined;
-	let isBegun = false;
+export function createAnswerWriter({request: {route, metadata}, reply, wire}: AnswerWriterOptions): AnswerWriter {
+	const filter = route.kind === 'stream' && route.isResumable ? createEventStreamFilter(metadata.lastEventId) : undefined;
+	let isStarted = false;
 
 	return {
-		isBegun: () => isBegun,
-		begin(answer) {
-			if (isBegun) {
+		isStarted: () => isStarted,
+		start(answer) {
+			if (isStarted) {
 				return;
 			}
 
-			isBegun = true;
-			reply.begin(answer.status, wire.writeAnswer(answer.headers));
+			isStarted = true;
+			reply.start(answer.status, wire.writeAnswer(answer.headers));
 		},
 		write(chunk) {
-			const bytes = relay === undefined ? chunk : relay.push(chunk);
+			const bytes = filter === undefined ? chunk : filter.push(chunk);
 			return bytes.length === 0 || reply.write(bytes);
 		},
 		onDrain: reply.onDrain,
-		lastEventId: () => isBegun ? relay?.lastEventId() ?? -1 : -1,
-		hasRest: () => relay?.hasRest() === true,
-		dropRest() {
-			relay?.restart();
+		lastEventId: () => isStarted ? filter?.lastEventId() ?? -1 : -1,
+		hasPartialEvent: () => filter?.hasPartialEvent() === true,
+		discardPartialEvent() {
+			filter?.discardPartialEvent();
 		},
 		end(answer) {
-			if (answer.verdict === 'stream') {
+			if (answer.answerClass === 'stream') {
 				reply.end();
 			} else {
-				reply.answer(answer.status, wire.writeAnswer(answer.headers), Buffer.concat(answer.pieces));
+				reply.answer(answer.status, wire.writeAnswer(answer.headers), Buffer.concat(answer.chunks));
 			}
 		},
 	};
--- a/gateway/forwarding/src/create-attempt.ts
+++ b/gateway/forwarding/src/create-attempt.ts
@@ -8,111 +8,111 @@
 import {classifyAnswer} from './classify-answer.ts';
 
 /**
-Largest answer that is held until it is whole, in bytes.
+Largest answer that is buffered, in bytes. Event streams are not buffered.
 */
-const largestWholeBytes = 8 * 1024 * 1024;
+const maximumBufferedBytes = 8 * 1024 * 1024;
 
 /**
- Sends a request to the endpoint that was chosen, writes what is a stream to the caller, and tells what became of it.
+ Sends a request to the chosen endpoint, writes an event stream to the caller, and reports the outcome.
 
  @example
- const attempt = createAttempt({tools, request, question, selection, writer, record, remainingMs: 4000}, events);
+ const attempt = createAttempt({tools, request, question, selection, writer, recorder, remainingMs: 4000}, events);
  attempt.end('cancelled');
  */
-export function createAttempt({tools, request, question, selection, writer, record, remainingMs}: AttemptOptions, events: AttemptEvents): Attempt {
+export function createAttempt({tools, request, question, selection, writer, recorder, remainingMs}: AttemptOptions, events: AttemptEvents): Attempt {
 	const {selector, exchanges, wire} = tools;
-	const {facts} = request;
+	const {metadata} = request;
 	const {endpoint} = selection;
-	const work = selector.open(selection, question);
+	const openRequest = selector.open(selection, question);
 	let answer: AttemptAnswer | undefined;
 	let sentAt: number | undefined;
 
-	work.onStalled(() => {
-		events.onLost('silent to all nodes');
+	openRequest.onStalled(() => {
+		events.onEndpointLost('endpoint stalled for all nodes');
 	});
-	work.onEnded(() => {
-		events.onLost('its process has ended');
+	openRequest.onEnded(() => {
+		events.onEndpointLost('endpoint process terminated');
 	});
 
 	function end(outcome: 'failed' | 'cancelled'): void {
 		exchange.abort();
-		work.close(outcome);
+		openRequest.close(outcome);
 	}
 
 	/**
-	Ends an attempt whose answer cannot be used, though the endpoint goes on with it.
+	Aborts an attempt whose answer cannot be used.
 	*/
-	function endUnusable(reason: string): void {
+	function failAttempt(reason: string): void {
 		end('failed');
 		events.onFailure({reason, mayHaveRun: true});
 	}
 
 	/**
-	An endpoint may say of itself, in any answer, that it wants no requests for some time or that it leaves.
+	Applies the cooldown or the draining signal that an endpoint may send with any answer.
 	*/
-	function applyNotice(status: number, {requestId, retryAfterMs, isLeaving: saysLeaving}: AnswerMetadata): void {
-		// A cooldown ends by itself; that an endpoint leaves is believed only of an answer that is surely its own.
-		const notice = {retryAfterMs, isLeaving: saysLeaving && requestId === facts.requestId};
+	function applyNotice(status: number, {requestId, retryAfterMs, isLeaving: isDraining}: AnswerMetadata): void {
+		// A cooldown expires by itself; a draining signal is accepted only with the request's own id.
+		const notice = {retryAfterMs, isLeaving: isDraining && requestId === metadata.requestId};
 		if (retryAfterMs === undefined && !notice.isLeaving) {
 			return;
 		}
 
 		selector.applyNotice(endpoint.incarnation, notice);
-		record.recordNotice(endpoint, status, notice);
+		recorder.recordNotice(endpoint, status, notice);
 	}
 
-	function takeData(taken: AttemptAnswer, chunk: Uint8Array): Flow {
-		if (taken.verdict === 'stream') {
-			return writePiece(chunk);
+	function handleData(current: AttemptAnswer, chunk: Uint8Array): Flow {
+		if (current.answerClass === 'stream') {
+			return writeChunk(chunk);
 		}
 
-		taken.bytes += chunk.length;
-		if (taken.bytes > largestWholeBytes) {
-			endUnusable(`answer of over ${largestWholeBytes} bytes`);
+		current.bytes += chunk.length;
+		if (current.bytes > maximumBufferedBytes) {
+			failAttempt(`answer larger than ${maximumBufferedBytes} bytes`);
 			return 'more';
 		}
 
-		taken.pieces.push(chunk);
+		current.chunks.push(chunk);
 		return 'more';
 	}
 
-	function writePiece(chunk: Uint8Array): Flow {
+	function writeChunk(chunk: Uint8Array): Flow {
 		if (writer.write(chunk)) {
 			return 'more';
 		}
 
 		events.onPaused();
-		work.markPaused();
+		openRequest.markPaused();
 		writer.onDrain(() => {
 			exchange.resume();
 		});
 		return 'pause';
 	}
 
-	function handleEnd(whole: AttemptAnswer): void {
-		const {verdict, status} = whole;
-		if (verdict === 'not-run' || verdict === 'misdirected') {
-			work.close(verdict === 'misdirected' ? 'gone' : 'rejected');
+	function handleEnd(completed: AttemptAnswer): void {
+		const {answerClass, status} = completed;
+		if (answerClass === 'not-run' || answerClass === 'misdirected') {
+			openRequest.close(answerClass === 'misdirected' ? 'gone' : 'rejected');
 			events.onNotRun();
-			events.onFailure({reason: `refused with ${status}`, mayHaveRun: false});
-		} else if (verdict === 'run-failed') {
-			work.close('failed');
-			events.onFailure({reason: `failed with ${status}`, mayHaveRun: true, answer: whole});
-		} else if (verdict === 'stream' && writer.hasRest()) {
-			work.close('failed');
-			events.onFailure({reason: 'the stream ended within an event', mayHaveRun: true});
-		} else if (verdict === 'whole' && writer.isBegun()) {
-			// The caller has the head of a stream already, which nothing but a stream can go on with.
-			work.close('failed');
-			events.onFailure({reason: `a stream went on as a whole answer ${status}`, mayHaveRun: true});
+			events.onFailure({reason: `refused with status ${status}`, mayHaveRun: false});
+		} else if (answerClass === 'run-failed') {
+			openRequest.close('failed');
+			events.onFailure({reason: `failed with status ${status}`, mayHaveRun: true, answer: completed});
+		} else if (answerClass === 'stream' && writer.hasPartialEvent()) {
+			openRequest.close('failed');
+			events.onFailure({reason: 'the stream ended in the middle of an event', mayHaveRun: true});
+		} else if (answerClass === 'whole' && writer.isStarted()) {
+			// The caller has already received the head of a stream, which only another stream can continue.
+			openRequest.close('failed');
+			events.onFailure({reason: `expected the rest of a stream, received a single answer with status ${status}`, mayHaveRun: true});
 		} else {
-			work.close('done');
-			events.onAnswer(whole);
+			openRequest.close('done');
+			events.onAnswer(completed);
 		}
 	}
 
 	/**
-	A request that was held back since its endpoint takes none says nothing against the endpoint.
+	Outcome of a request that was not sent. If the endpoint accepts no requests at the moment, that is not counted as a failure.
 	*/
 	function classifyUnsent(): Parameters<OpenRequest['close']>[0] {
 		return selector.canTake(endpoint) ? 'gone' : 'cancelled';
@@ -137,43 +137,43 @@
 			events.onSent();
 		},
 		onHead(status, headers) {
-			const said = wire.readAnswer(status, headers);
-			applyNotice(status, said);
-			const verdict = classifyAnswer(status, said, facts.requestId);
+			const answerMetadata = wire.readAnswer(status, headers);
+			applyNotice(status, answerMetadata);
+			const answerClass = classifyAnswer(status, answerMetadata, metadata.requestId);
 			answer = {
-				status, headers, verdict, pieces: [], bytes: 0,
+				status, headers, answerClass, chunks: [], bytes: 0,
 			};
-			if (verdict === 'stream') {
-				writer.begin(answer);
-			} else if (verdict === 'untrusted') {
-				// What follows on the connection cannot be told apart from other answers.
-				endUnusable(`untrusted answer ${status}`);
+			if (answerClass === 'stream') {
+				writer.start(answer);
+			} else if (answerClass === 'untrusted') {
+				// The rest of the data on this connection may belong to another request's answer.
+				failAttempt(`untrusted answer with status ${status}`);
 			}
 		},
 		onData(chunk) {
-			work.markChunk();
-			record.recordPiece();
-			if (answer?.verdict === 'stream') {
-				events.onBegun(performance.now());
+			openRequest.markChunk();
+			recorder.recordChunk();
+			if (answer?.answerClass === 'stream') {
+				events.onStarted(performance.now());
 			}
 
-			events.onPiece();
-			return answer === undefined ? 'more' : takeData(answer, chunk);
+			events.onChunk();
+			return answer === undefined ? 'more' : handleData(answer, chunk);
 		},
 		onEnd() {
 			if (answer === undefined) {
 				return;
 			}
 
-			if (sentAt !== undefined && (answer.verdict === 'whole' || answer.verdict === 'run-failed')) {
-				events.onBegun(sentAt);
+			if (sentAt !== undefined && (answer.answerClass === 'whole' || answer.answerClass === 'run-failed')) {
+				events.onStarted(sentAt);
 			}
 
 			handleEnd(answer);
 		},
 		onFailure(error) {
 			const wasSent = sentAt !== undefined;
-			work.close(wasSent ? 'failed' : classifyUnsent());
+			openRequest.close(wasSent ? 'failed' : classifyUnsent());
 			events.onFailure({reason: error.message, mayHaveRun: wasSent});
 		},
 	});
--- a/gateway/forwarding/src/create-piece-clock.ts
+++ b/gateway/forwarding/src/create-chunk-timer.ts
@@ -1,24 +1,24 @@
 import type {Metrics} from '@valvesaddle/metrics';
-import type {PieceClock} from './piece-clock.ts';
+import type {ChunkTimer} from './chunk-timer.ts';
 
 /**
- Creates the clock of an answer's pieces.
+ Creates the timer of an answer's chunks.
 
  @example
- const clock = createPieceClock(performance.now(), metrics);
- clock.record();
- clock.longestPauseMs(); // 0
+ const chunkTimer = createChunkTimer(performance.now(), metrics);
+ chunkTimer.record();
+ chunkTimer.longestPauseMs(); // 0
  */
-export function createPieceClock(arrivedAt: number, metrics: Metrics): PieceClock {
+export function createChunkTimer(arrivedAt: number, metrics: Metrics): ChunkTimer {
 	let firstMs: number | undefined;
 	let lastAt = 0;
 	let longestPauseMs = 0;
-	let pieces = 0;
+	let chunks = 0;
 
 	return {
 		record() {
 			const now = performance.now();
-			pieces++;
+			chunks++;
 			if (firstMs === undefined) {
 				firstMs = Math.round(now - arrivedAt);
 				metrics.timing('gateway.first-byte', firstMs);
@@ -29,7 +29,7 @@
 
 			lastAt = now;
 		},
-		pieces: () => pieces,
+		chunks: () => chunks,
 		firstMs: () => firstMs,
 		longestPauseMs: () => Math.round(longestPauseMs),
 	};
--- a/gateway/forwarding/src/create-forward-task.ts
+++ b/gateway/forwarding/src/create-forward-task.ts
@@ -4,39 +4,40 @@
 import type {AttemptEvents} from './attempt-events.ts';
 import type {AttemptFailure} from './attempt-failure.ts';
 import type {Attempt} from './attempt.ts';
-import {canRepeat} from './can-repeat.ts';
+import {canRetry} from './can-retry.ts';
 import {createAdmitter} from './create-admitter.ts';
 import {createAnswerWriter} from './create-answer-writer.ts';
 import {createAttempt} from './create-attempt.ts';
-import {createPatience} from './create-patience.ts';
+import {createProgressTimer} from './create-progress-timer.ts';
 import {createRefusals} from './create-refusals.ts';
-import {createRequestRecord} from './create-request-record.ts';
+import {createRequestRecorder} from './create-request-recorder.ts';
 import type {ForwardTask} from './forward-task.ts';
 import type {ForwardTaskOptions} from './forward-task-options.ts';
 import type {ForwarderOptions} from './forwarder-options.ts';
-import {getPatience} from './get-patience.ts';
-import {isRepeatable} from './is-repeatable.ts';
+import {getProgressTimeouts} from './get-progress-timeouts.ts';
+import {isRetryable} from './is-retryable.ts';
 import {rankUrgency} from './rank-urgency.ts';
 
 /**
-Endpoints that may refuse or be unreachable, one after the other, before the caller is told so.
+Number of endpoints that are tried for one request, including those that refuse it or are unreachable.
 */
-const mostTries = 5;
+const maximumTriedEndpoints = 5;
+
 /**
- Starts to carry a request to one final answer. The task owns its timers and the exchange that is under way.
+ Forwards a request until it has one final answer. The task owns its timers and its open exchange.
 
  @example
- const task = createForwardTask(options, {request, reply, onOver() {}});
+ const task = createForwardTask(options, {request, reply, onEnd() {}});
  task.cancel();
  */
-export function createForwardTask(options: ForwarderOptions, {request, reply, onOver}: ForwardTaskOptions): ForwardTask {
+export function createForwardTask(options: ForwarderOptions, {request, reply, onEnd}: ForwardTaskOptions): ForwardTask {
 	const {selector, wire, metrics} = options;
-	const {facts, route} = request;
-	const waitMs = Math.min(route.timeoutMs, facts.waitMs ?? Infinity);
+	const {metadata, route} = request;
+	const waitMs = Math.min(route.timeoutMs, metadata.waitMs ?? Infinity);
 	const deadlineAt = request.arrivedAt + waitMs;
 	const writer = createAnswerWriter({request, reply, wire});
 	const admitter = createAdmitter(options, request, waitMs);
-	const record = createRequestRecord(options, request);
+	const recorder = createRequestRecorder(options, request);
 	const refusals = createRefusals(selector, request.pool);
 	const tried = new Set<string>();
 	const question: SelectionCriteria = {
@@ -44,72 +45,72 @@
 		objectiveMs: route.latencyObjectiveMs,
 		pauseObjectiveMs: route.pauseObjectiveMs,
 		urgency: rankUrgency(route, request.account, false),
-		promptTokens: facts.promptTokens,
-		parts: facts.parts,
+		promptTokens: metadata.promptTokens,
+		parts: metadata.parts,
 		tried,
 	};
-	const isMovable = isRepeatable(route);
-	const {pauseMs} = getPatience(route, 0);
-	const patience = createPatience(milliseconds => {
-		if (!canRepeat({route, mayHaveRun: true, runs}) || selector.choose(question) === undefined) {
+	const isRequestRetryable = isRetryable(route);
+	const {pauseMs} = getProgressTimeouts(route, 0);
+	const progressTimer = createProgressTimer(milliseconds => {
+		if (!canRetry({route, mayHaveRun: true, runs}) || selector.choose(question) === undefined) {
 			return;
 		}
 
 		endAttempt('failed');
 		handleFailure({reason: `silent for ${Math.round(milliseconds)} ms`, mayHaveRun: true});
 	});
-	let tries = 0;
+	let attempts = 0;
 	let runs = 0;
-	let arrivals = 0;
-	let isOver = false;
+	let sends = 0;
+	let hasEnded = false;
 	let attempt: Attempt | undefined;
-	let isBegun = false;
+	let isStarted = false;
 
 	const events: AttemptEvents = {
 		onSent() {
 			runs++;
-			arrivals++;
+			sends++;
 		},
 		onNotRun() {
 			runs--;
 		},
-		onBegun: markBegun,
-		onPiece() {
+		onStarted: markStarted,
+		onChunk() {
 			if (route.kind === 'stream') {
-				startPatience(pauseMs);
+				startProgressTimer(pauseMs);
 			}
 		},
-		onPaused: patience.stop,
-		onLost: moveElsewhere,
+		onPaused: progressTimer.stop,
+		onEndpointLost: handleEndpointLost,
 		onAnswer: answerCaller,
 		onFailure: handleFailure,
 	};
 	const timer = setTimeout(handleDeadline, Math.max(0, deadlineAt - performance.now()));
 
 	function closeTask(outcome: string, status: number): void {
-		isOver = true;
+		hasEnded = true;
 		clearTimeout(timer);
-		patience.stop();
-		record.recordEnd(outcome, status, {tries, runs});
-		onOver();
+		progressTimer.stop();
+		recorder.recordEnd(outcome, status, {attempts, runs});
+		onEnd();
 	}
 
 	/**
-	A request begins to run once, however often it is sent: a stream with its first event, any other when it was sent.
+	Reports the start of a request once, however often it is sent: a stream with its first event, any other request when it is sent.
 	*/
-	function markBegun(at: number): void {
-		if (isBegun) {
+	function markStarted(at: number): void {
+		if (isStarted) {
 			return;
 		}
 
-		isBegun = true;
-		options.onBegun?.(request.account?.name ?? '', at);
+		isStarted = true;
+		options.onStarted?.(request.account?.name ?? '', at);
 	}
 
 	function refuse(error: ValvesaddleError): void {
-		if (writer.isBegun()) {
+		if (writer.isStarted()) {
 			closeTask('broken-off', 0);
-			reply.cut();
+			reply.abort();
 			return;
 		}
 
@@ -123,19 +124,19 @@
 	}
 
 	/**
-	Gives an endpoint some time for its next byte; a request that may be repeated then goes elsewhere.
+	Restarts the timeout for the next chunk, after which a retryable request is sent to another endpoint.
 	*/
-	function startPatience(milliseconds: number): void {
-		if (isMovable) {
-			patience.start(milliseconds);
+	function startProgressTimer(milliseconds: number): void {
+		if (isRequestRetryable) {
+			progressTimer.start(milliseconds);
 		}
 	}
 
 	/**
-	The endpoint will not answer: a request that may be repeated goes elsewhere at once.
+	Sends a retryable request to another endpoint immediately, since this one will not answer.
 	*/
-	function moveElsewhere(reason: string): void {
-		if (!canRepeat({route, mayHaveRun: true, runs}) || selector.choose(question) === undefined) {
+	function handleEndpointLost(reason: string): void {
+		if (!canRetry({route, mayHaveRun: true, runs}) || selector.choose(question) === undefined) {
 			return;
 		}
 
@@ -144,58 +145,58 @@
 	}
 
 	function endAttempt(end: 'failed' | 'cancelled'): void {
-		patience.stop();
+		progressTimer.stop();
 		attempt?.end(end);
 		attempt = undefined;
 	}
 
 	function startAttempt(): void {
-		const askedAt = performance.now();
-		const selection = tries < mostTries ? selector.choose(question) : undefined;
-		metrics.timing('gateway.decision', performance.now() - askedAt);
+		const startedAt = performance.now();
+		const selection = attempts < maximumTriedEndpoints ? selector.choose(question) : undefined;
+		metrics.timing('gateway.decision', performance.now() - startedAt);
 		if (selection === undefined) {
-			record.recordNoEndpoint(tries, selector.getCooldownMs(request.pool));
-			refuse(refusals.buildNoEndpoint(tries));
+			recorder.recordNoEndpoint(attempts, selector.getCooldownMs(request.pool));
+			refuse(refusals.buildNoEndpoint(attempts));
 			return;
 		}
 
-		const admission = admitter.decide(selection, tries > 0);
+		const admission = admitter.decide(selection, attempts > 0);
 		if (admission.kind === 'refuse') {
 			refuse(refusals.buildOverloaded(selection.costMs, admission.retryAfterMs));
 		} else {
-			openAt(admission.kind === 'send-late' ? selector.choose({...question, urgency: rankUrgency(route, request.account, true)}) ?? selection : selection);
+			sendTo(admission.kind === 'send-late' ? selector.choose({...question, urgency: rankUrgency(route, request.account, true)}) ?? selection : selection);
 		}
 	}
 
-	function openAt(selection: Selection): void {
-		tries++;
+	function sendTo(selection: Selection): void {
+		attempts++;
 		tried.add(selection.endpoint.incarnation);
 		const remainingMs = deadlineAt - performance.now();
-		record.recordSent(selection, tries, remainingMs);
-		startPatience(getPatience(route, request.isEnginePool ? selection.costMs : 0).firstMs);
+		recorder.recordSent(selection, attempts, remainingMs);
+		startProgressTimer(getProgressTimeouts(route, request.isEnginePool ? selection.costMs : 0).firstByteMs);
 		attempt = createAttempt({
-			tools: options, request, question, selection, writer, record, remainingMs,
+			tools: options, request, question, selection, writer, recorder, remainingMs,
 		}, events);
 	}
 
 	function answerCaller(answer: AttemptAnswer): void {
 		attempt = undefined;
-		// The timer goes last: an answer that cannot be written would otherwise stay open without end.
+		// The deadline timer is cleared last, so that a request whose answer cannot be written still times out.
 		writer.end(answer);
 		closeTask('answered', answer.status);
 	}
 
 	function handleFailure(failure: AttemptFailure): void {
-		patience.stop();
+		progressTimer.stop();
 		attempt = undefined;
-		writer.dropRest();
-		// An attempt that never arrived takes nothing from the budget.
-		const isAllowed = canRepeat({route, mayHaveRun: failure.mayHaveRun, runs});
-		const isRetried = isAllowed && (arrivals === 0 || options.budget.spend(request.pool));
-		record.recordFailure(failure, tries, isRetried);
+		writer.discardPartialEvent();
+		// Retries use the retry budget only once the request has been sent to an endpoint.
+		const isAllowed = canRetry({route, mayHaveRun: failure.mayHaveRun, runs});
+		const isRetried = isAllowed && (sends === 0 || options.budget.spend(request.pool));
+		recorder.recordFailure(failure, attempts, isRetried);
 		if (isRetried) {
 			startAttempt();
-		} else if (failure.answer !== undefined && !writer.isBegun()) {
+		} else if (failure.answer !== undefined && !writer.isStarted()) {
 			answerCaller(failure.answer);
 		} else {
 			refuse(refusals.buildFailure(failure.reason, runs > 0));
@@ -206,7 +207,7 @@
 
 	return {
 		cancel() {
-			if (isOver) {
+			if (hasEnded) {
 				return;
 			}
 
--- /dev/null
+++ b/gateway/forwarding/src/create-progress-timer.ts
@@ -0,0 +1,55 @@
+import type {ProgressTimer} from './progress-timer.ts';
+
+/**
+ Creates a progress timer. A restart only moves the deadline while a timer is already set, since a stream restarts it with
+ each chunk.
+
+ @param onTimeout - Called with the timeout in milliseconds when it has expired.
+ @example
+ const progressTimer = createProgressTimer(milliseconds => console.log(`silent for ${milliseconds} ms`));
+ progressTimer.start(700);
+ */
+export function createProgressTimer(onTimeout: (milliseconds: number) => void): ProgressTimer {
+	let timeoutMs = 0;
+	let expiresAt = Infinity;
+	let timer: NodeJS.Timeout | undefined;
+	let timerAt = Infinity;
+
+	function setTimer(now: number): void {
+		clearTimeout(timer);
+		timerAt = expiresAt;
+		timer = setTimeout(check, expiresAt - now);
+	}
+
+	function check(): void {
+		timerAt = Infinity;
+		if (expiresAt === Infinity) {
+			return;
+		}
+
+		const now = performance.now();
+		if (now < expiresAt) {
+			setTimer(now);
+			return;
+		}
+
+		expiresAt = Infinity;
+		onTimeout(timeoutMs);
+	}
+
+	return {
+		start(milliseconds) {
+			const now = performance.now();
+			timeoutMs = milliseconds;
+			expiresAt = now + milliseconds;
+			if (expiresAt < timerAt) {
+				setTimer(now);
+			}
+		},
+		stop() {
+			clearTimeout(timer);
+			timerAt = Infinity;
+			expiresAt = Infinity;
+		},
+	};
+}
--- a/gateway/forwarding/src/forwarder-options.ts
+++ b/gateway/forwarding/src/forwarder-options.ts
@@ -16,9 +16,10 @@
 	readonly budget: RetryBudget;
 	readonly waits: WaitBaselines;
 	/**
-	Told once of each request that began to run: when, in milliseconds on the steady clock, and for which client account.
+	Called once for each request that started to run, with its client account's name (empty without one) and the time in
+	milliseconds on the monotonic clock.
 	*/
-	readonly onBegun?: (account: string, at: number) => void;
+	readonly onStarted?: (account: string, at: number) => void;
 	readonly admission: AdmissionSettings;
 	readonly logger: Logger;
 	readonly metrics: Metrics;
--- a/gateway/front/src/create-reply.ts
+++ b/gateway/front/src/create-reply.ts
@@ -5,7 +5,7 @@
 import {sendRefusal} from './send-refusal.ts';
 
 /**
- Creates the reply to a caller over its connection.
+ Creates the reply to a caller over its HTTP connection.
 
  @example
  const reply = createReply(response, () => false);
@@ -21,21 +21,21 @@
 			response.writeHead(status, toHead([...headers, 'content-length', String(body.length)]));
 			response.end(body);
 		},
-		begin(status, headers) {
+		start(status, headers) {
 			response.writeHead(status, toHead(headers));
 			response.flushHeaders();
 		},
 		write(bytes) {
-			const socket = findOwnSocket(response);
+			const socket = findWritableSocket(response);
 			return socket === undefined ? response.write(bytes) : socket.write(formatChunk(bytes));
 		},
 		onDrain(resume) {
-			(findOwnSocket(response) ?? response).once('drain', resume);
+			(findWritableSocket(response) ?? response).once('drain', resume);
 		},
 		end() {
 			response.end();
 		},
-		cut() {
+		abort() {
 			response.destroy();
 		},
 		refuse(error) {
@@ -45,9 +45,9 @@
 }
 
 /**
-The connection, once its turn is this answer's and the head has gone out. A piece is then one write in place of the three that
-the HTTP server makes of it: length, bytes and end of line.
+Finds the socket once the head is sent and no earlier answer is open on the connection. Each chunk is then one write, instead of
+three by the HTTP server: length, data and line end.
 */
-function findOwnSocket({chunkedEncoding, socket, headersSent}: ServerResponse): Socket | undefined {
+function findWritableSocket({chunkedEncoding, socket, headersSent}: ServerResponse): Socket | undefined {
 	return headersSent && chunkedEncoding && socket?.writable === true ? socket : undefined;
 }
