--- a/emulator/beliefs/src/create-spreading-node.ts
+++ b/emulator/beliefs/src/create-spreading-node.ts
@@ -71,7 +71,7 @@
 		view,
 		follower,
 		selector: takeNews === undefined ? selector : {...selector, takeNews},
-		newsMs: settings.peers.news_ms,
+		loadUpdateMs: settings.peers.news_ms,
 		hasOpenRequests: () => true,
 		heartbeatMs: settings.peers.heartbeat_ms,
 		meshNodes: settings.peers.mesh_nodes,
--- a/emulator/fleet/src/start-news.ts
+++ b/emulator/fleet/src/start-news.ts
@@ -1,4 +1,4 @@
-import {createNewsSync, type NewsSync} from '@valvesaddle/gateway';
+import {createLoadSync, type LoadSync} from '@valvesaddle/gateway';
 import {chooseParent, planOverlay} from '@valvesaddle/overlay';
 import type {EmulatedNode} from './emulated-node.ts';
 import type {EmulationClock} from './emulation-clock.ts';
@@ -37,11 +37,11 @@
  */
 export function startNews({clock, nodes, load, untilMs}: NewsOptions): void {
 	const links = planLinks(nodes.map(({id}) => id));
-	const syncs = new Map<string, NewsSync>();
+	const syncs = new Map<string, LoadSync>();
 	const isRelay = (node: string): boolean => (links.get(node)?.members.length ?? 0) > 0 || links.get(node)!.relays.length > 1;
 	for (const {id, selector} of nodes) {
 		const {relays, members} = links.get(id)!;
-		syncs.set(id, createNewsSync({
+		syncs.set(id, createLoadSync({
 			node: id,
 			selector,
 			countNodes: () => nodes.length,
@@ -52,7 +52,7 @@
 				isReady: () => true,
 				notify(node, _method, news) {
 					clock.add(load.linkMs, () => {
-						syncs.get(node)?.applyNews(news, id);
+						syncs.get(node)?.applyLoadUpdate(news, id);
 					});
 				},
 			},
@@ -80,7 +80,7 @@
 	readonly untilMs: number;
 };
 
-function sendRepeatedly(clock: EmulationClock, news: NewsSync, turns: Turns, turn = 0): void {
+function sendRepeatedly(clock: EmulationClock, news: LoadSync, turns: Turns, turn = 0): void {
 	news.send(turn % turns.memberTurns === 0);
 	if (clock.now() < turns.untilMs) {
 		clock.add(turns.pauseMs, () => {
@@ -92,7 +92,7 @@
 /**
 A member tells its relay soon of what it has placed.
 */
-function createPlacedTeller(clock: EmulationClock, news: NewsSync): () => void {
+function createPlacedTeller(clock: EmulationClock, news: LoadSync): () => void {
 	let isDue = false;
 	return () => {
 		if (isDue) {
--- a/node/gateway/src/belief-sync.ts
+++ b/node/gateway/src/cluster-sync.ts
@@ -3,7 +3,7 @@
 /**
 Exchange of beliefs on the cluster with peers.
 */
-export type BeliefSync = {
+export type ClusterSync = {
 	readonly sendHeartbeat: () => void;
 	/**
 	Takes in a peer's message; throws `ZodError` for one of a wrong form.
--- a/node/gateway/src/confirmation-book.ts
+++ b/node/gateway/src/confirmation-table.ts
@@ -3,7 +3,7 @@
 /**
 Keeps which word of the store is the youngest, whoever passed it on.
 */
-export type ConfirmationBook = {
+export type ConfirmationTable = {
 	/**
 	This node is in touch with the store itself.
 	*/
@@ -19,5 +19,5 @@
 	/**
 	The youngest word; `undefined` while there is none.
 	*/
-	readonly youngest: () => Confirmation | undefined;
+	readonly latest: () => Confirmation | undefined;
 };
--- a/node/gateway/src/create-belief-sync.ts
+++ b/node/gateway/src/create-cluster-sync.ts
@@ -2,20 +2,20 @@
 import type {Logger} from '@valvesaddle/logger';
 import type {Metrics} from '@valvesaddle/metrics';
 import type {PeerNetwork} from '@valvesaddle/network';
-import type {BeliefSync} from './belief-sync.ts';
+import type {ClusterSync} from './cluster-sync.ts';
 import {changesSchema} from './changes-schema.ts';
-import {createConfirmationBook} from './create-confirmation-book.ts';
+import {createConfirmationTable} from './create-confirmation-table.ts';
 import {createDelayMeter} from './create-delay-meter.ts';
-import {createStateTaker} from './create-state-taker.ts';
+import {createStateFetcher} from './create-state-fetcher.ts';
 import {createVersionWatch} from './create-version-watch.ts';
 import {heartbeatSchema} from './heartbeat-schema.ts';
 import type {LinkPlan} from './link-plan.ts';
-import {stateQuestionSchema} from './state-question-schema.ts';
+import {stateRequestSchema} from './state-request-schema.ts';
 
 /**
 Options of `createBeliefSync`.
 */
-type BeliefSyncOptions = {
+type ClusterSyncOptions = {
 	readonly node: string;
 	readonly network: PeerNetwork;
 	readonly links: LinkPlan;
@@ -54,17 +54,17 @@
  beliefs.sendHeartbeat();
  beliefs.isStoreNeeded();
  */
-export function createBeliefSync(options: BeliefSyncOptions): BeliefSync {
+export function createClusterSync(options: ClusterSyncOptions): ClusterSync {
 	const {network, links, view, follower, logger, metrics} = options;
 	let isFollowing = true;
-	const confirmations = createConfirmationBook({node: options.node});
+	const confirmations = createConfirmationTable({node: options.node});
 	let lastAhead = '';
 	let compareAgainAt = -Infinity;
 	let comparePauseMs = options.confirmMs;
 	const delays = createDelayMeter();
 	const versions = createVersionWatch({view, metrics});
-	const states = createStateTaker({
-		network, view, patienceMs: options.confirmMs / 2, logger, metrics,
+	const states = createStateFetcher({
+		network, view, answerTimeoutMs: options.confirmMs / 2, logger, metrics,
 	});
 	/**
 	Peers whose messages come late.
@@ -151,7 +151,7 @@
 			return 'none';
 		}
 
-		if (!states.canAsk(node)) {
+		if (!states.canRead(node)) {
 			return 'wait for an answer';
 		}
 
@@ -181,7 +181,7 @@
 	What is newer is enough for a node that believes all up to its revision; one that keeps entries which may have lapsed does not.
 	*/
 	function askState(node: string, isAhead: boolean): void {
-		states.ask(node, isAhead && !view.hasLapsed() ? 'newer' : 'all');
+		states.startRead(node, isAhead && !view.hasLapsed() ? 'newer' : 'all');
 	}
 
 	network.events.on('lost', ({data: {node}}) => {
@@ -206,7 +206,7 @@
 				digest: view.hasLapsed() ? undefined : view.digest(),
 				version: versions.get(),
 				confirmedAgoMs: measureAge(),
-				confirmation: confirmations.youngest(),
+				confirmation: confirmations.latest(),
 				sentAt: performance.now(),
 			});
 		},
@@ -232,13 +232,13 @@
 			const hasGap = after > view.revision();
 			// What is newer holds whatever was missed before it; the revision waits for what was missed.
 			view.applyChanges(hasGap ? {...changes, revision: view.revision()} : changes, 'peer');
-			if (hasGap && states.canAsk(node)) {
+			if (hasGap && states.canRead(node)) {
 				askState(node, true);
 			}
 		},
 		getDelay: delays.get,
 		exportState(parameters) {
-			const {since} = stateQuestionSchema.parse(parameters);
+			const {since} = stateRequestSchema.parse(parameters);
 			return view.exportState(isConfirmed() && !view.hasLapsed(), since);
 		},
 		isCurrent: () => isConfirmed() && !versions.isBehind() && !view.hasUnreadConfiguration(),
--- a/node/gateway/src/create-confirmation-book.ts
+++ b/node/gateway/src/create-confirmation-table.ts
@@ -1,5 +1,5 @@
 import type {Confirmation} from './confirmation.ts';
-import type {ConfirmationBook} from './confirmation-book.ts';
+import type {ConfirmationTable} from './confirmation-table.ts';
 
 /**
 Nodes whose last word is kept; a fleet has four that are in touch for all.
@@ -27,7 +27,7 @@
  confirmations.record({by: 'r1', number: 7}, 20);
  confirmations.measureAge(); // 20
  */
-export function createConfirmationBook({node}: {readonly node: string}): ConfirmationBook {
+export function createConfirmationTable({node}: {readonly node: string}): ConfirmationTable {
 	const words = new Map<string, Word>();
 	let last: Confirmation | undefined;
 	let lastAt = -Infinity;
@@ -62,6 +62,6 @@
 			addWord(confirmation, performance.now() - ageMs);
 		},
 		measureAge: () => Math.min(neverMs, Math.round(performance.now() - lastAt)),
-		youngest: () => last,
+		latest: () => last,
 	};
 }
--- a/node/gateway/src/create-duty-task.ts
+++ b/node/gateway/src/create-duty-task.ts
@@ -69,7 +69,7 @@
 	}
 
 	const reporter = createUsageReporter({
-		book: {sum: window => sync.usage?.book.sum(window) ?? {}},
+		book: {sum: window => sync.usage?.counters.sum(window) ?? {}},
 		store,
 		platform,
 		getProof,
--- a/node/gateway/src/create-gateway.ts
+++ b/node/gateway/src/create-gateway.ts
@@ -99,7 +99,7 @@
 		prefillTokensPerMs: selection.prefill_tokens_per_ms,
 		hasConnection: address => exchanges.hasIdle(address),
 		onPlaced() {
-			sync.sendPlaced();
+			sync.sendPlacements();
 		},
 	});
 	// A time of day that is set while the process runs moves no request into another window.
@@ -111,7 +111,7 @@
 		view,
 		follower,
 		selector,
-		newsMs: peers.news_ms,
+		loadUpdateMs: peers.news_ms,
 		hasOpenRequests: () => forwarder.countOpen() > 0,
 		...(settings.duties !== undefined && {usage: {windowMs: settings.duties.window_s * msPerSecond, toUnixTime}}),
 		heartbeatMs: peers.heartbeat_ms,
--- a/node/gateway/src/create-link-plan.ts
+++ b/node/gateway/src/create-link-plan.ts
@@ -16,7 +16,7 @@
 	/**
 	Silence after which a link is broken.
 	*/
-	readonly silenceMs: number;
+	readonly linkTimeoutMs: number;
 	/**
 	Time after which a relay that could not be reached is tried again.
 	*/
@@ -25,7 +25,7 @@
 	/**
 	Sends the node's work in full; that opens the link when there is none.
 	*/
-	readonly introduce: (node: string) => void;
+	readonly sendFullState: (node: string) => void;
 };
 
 /**
@@ -38,7 +38,7 @@
  links.isRelay('n1');
  */
 export function createLinkPlan(options: LinkPlanOptions): LinkPlan {
-	const {self, network, view, logger, silenceMs} = options;
+	const {self, network, view, logger, linkTimeoutMs: silenceMs} = options;
 	const heardAt = new Map<string, number>();
 	const suspectedAt = new Map<string, number>();
 	/**
@@ -137,7 +137,7 @@
 
 	function openLink(node: string): void {
 		opened.add(node);
-		options.introduce(node);
+		options.sendFullState(node);
 	}
 
 	/**
@@ -191,7 +191,7 @@
 				updateParent(now);
 			}
 		},
-		markHeard(node, at) {
+		markSeen(node, at) {
 			heardAt.set(node, Math.max(at, heardAt.get(node) ?? at));
 		},
 		markLost(node) {
--- a/node/gateway/src/create-news-sync.ts
+++ b/node/gateway/src/create-load-sync.ts
@@ -1,15 +1,15 @@
 import type {PeerNetwork} from '@valvesaddle/network';
 import {createNewsRelay, type OriginNews} from '@valvesaddle/news';
 import type {Selector} from '@valvesaddle/selection';
-import {formatNews} from './format-news.ts';
+import {formatLoadUpdate} from './format-load-update.ts';
 import type {LinkPlan} from './link-plan.ts';
-import {parseNews} from './parse-news.ts';
-import type {NewsSync} from './news-sync.ts';
+import {parseLoadUpdate} from './parse-load-update.ts';
+import type {LoadSync} from './load-sync.ts';
 
 /**
 Options of `createNewsSync`.
 */
-type NewsSyncOptions = {
+type LoadSyncOptions = {
 	readonly node: string;
 	readonly network: Pick<PeerNetwork, 'isReady' | 'notify'>;
 	readonly links: Pick<LinkPlan, 'isRelay' | 'listRelays' | 'listMembers'>;
@@ -27,7 +27,7 @@
  const news = createNewsSync({node: 'n1', network, links, selector, countNodes: () => 84});
  news.send(true);
  */
-export function createNewsSync({node: self, network, links, selector, countNodes}: NewsSyncOptions): NewsSync {
+export function createLoadSync({node: self, network, links, selector, countNodes}: LoadSyncOptions): LoadSync {
 	const relay = createNewsRelay({node: self});
 	/**
 	Nodes that each linked node's news stand for.
@@ -47,7 +47,7 @@
 			return false;
 		}
 
-		network.notify(node, 'load.news', formatNews(news));
+		network.notify(node, 'load.news', formatLoadUpdate(news));
 		return true;
 	}
 
@@ -66,13 +66,13 @@
 			const toldMembers = members.filter(node => wasSent(node, relay.takeForMember(node)));
 			return toldRelays.length + toldMembers.length > 0;
 		},
-		introduce(node) {
+		sendFull(node) {
 			relay.removeLink(node);
 			const isMember = links.isRelay(self) && !links.isRelay(node);
 			wasSent(node, isMember ? relay.takeForMember(node) : relay.takeForRelay(node));
 		},
-		applyNews(parameters, node) {
-			const news: OriginNews = {...parseNews(parameters), origin: node};
+		applyLoadUpdate(parameters, node) {
+			const news: OriginNews = {...parseLoadUpdate(parameters), origin: node};
 			origins.set(node, news.nodes);
 			const current = {...news, ...selector.applyNews(node, news)};
 			if (!links.isRelay(node)) {
--- a/node/gateway/src/create-peer-sync.ts
+++ b/node/gateway/src/create-peer-sync.ts
@@ -2,9 +2,9 @@
 import {measureFleet} from '@valvesaddle/cluster-view';
 import {formatIncarnation} from '@valvesaddle/selection';
 import {measureTick} from '@valvesaddle/ticks';
-import {createBeliefSync} from './create-belief-sync.ts';
+import {createClusterSync} from './create-cluster-sync.ts';
 import {createLinkPlan} from './create-link-plan.ts';
-import {createNewsSync} from './create-news-sync.ts';
+import {createLoadSync} from './create-load-sync.ts';
 import {createUsageSync} from './create-usage-sync.ts';
 import type {PeerSync} from './peer-sync.ts';
 import type {PeerSyncOptions} from './peer-sync-options.ts';
@@ -46,18 +46,18 @@
 	let membersToldAt = -Infinity;
 	let placedTimer: NodeJS.Timeout | undefined;
 	const links = createLinkPlan({
-		self, network, view, meshNodes: options.meshNodes, silenceMs, suspectMs: options.suspectMs, logger,
-		introduce(node) {
-			news.introduce(node);
+		self, network, view, meshNodes: options.meshNodes, linkTimeoutMs: silenceMs, suspectMs: options.suspectMs, logger,
+		sendFullState(node) {
+			news.sendFull(node);
 		},
 	});
-	const news = createNewsSync({
+	const news = createLoadSync({
 		node: self.id, network, links, selector, countNodes: () => view.nodes().length,
 	});
 	const usage = options.usage && createUsageSync({
 		node: self.id, network, links, ...options.usage,
 	});
-	const beliefs = createBeliefSync({
+	const beliefs = createClusterSync({
 		node: self.id, network, links, view, follower, confirmMs: silenceMs, logger, metrics,
 	});
 
@@ -72,7 +72,7 @@
 	}
 
 	function measureUsualPause(longestFactor: number): number {
-		return options.newsMs * Math.min(longestFactor, measureFleet(view.nodes().length));
+		return options.loadUpdateMs * Math.min(longestFactor, measureFleet(view.nodes().length));
 	}
 
 	function sendNews(): void {
@@ -111,7 +111,7 @@
 	*/
 	function withSign(handle: (parameters: unknown, node: string) => unknown): Handlers[string] {
 		return (parameters, node) => {
-			links.markHeard(node, performance.now() - beliefs.getDelay(node));
+			links.markSeen(node, performance.now() - beliefs.getDelay(node));
 			return handle(parameters, node);
 		};
 	}
@@ -129,8 +129,8 @@
 	});
 	network.events.on('found', ({data: {node}}) => {
 		logger.info({name: 'peer-state', peer: node, reachable: true});
-		news.introduce(node);
-		usage?.introduce(node);
+		news.sendFull(node);
+		usage?.sendFull(node);
 		beliefs.sendHeartbeat();
 	});
 
@@ -152,14 +152,14 @@
 			isStoreNeeded: beliefs.isStoreNeeded,
 			isFollower: links.isFollower,
 			usage,
-			sendPlaced,
+			sendPlacements: sendPlaced,
 			close() {
 				closing.abort();
 				clearTimeout(placedTimer);
 			},
 		},
 		handlers: {
-			'load.news': withSign(news.applyNews),
+			'load.news': withSign(news.applyLoadUpdate),
 			'usage.rows': withSign((parameters, node) => usage?.apply(parameters, node)),
 			'cluster.heartbeat': withSign(beliefs.applyHeartbeat),
 			'cluster.changes': withSign(beliefs.applyChanges),
--- a/node/gateway/src/create-state-taker.ts
+++ b/node/gateway/src/create-state-fetcher.ts
@@ -5,16 +5,16 @@
 import type {PeerNetwork} from '@valvesaddle/network';
 import {clusterStateSchema} from './cluster-state-schema.ts';
 import {noVersion} from './no-version.ts';
-import type {StateQuestion} from './state-question.ts';
-import type {StateTaker} from './state-taker.ts';
+import type {StateRequest} from './state-request.ts';
+import type {StateFetcher} from './state-fetcher.ts';
 
-type StateTakerOptions = {
+type StateFetcherOptions = {
 	readonly network: Pick<PeerNetwork, 'call'>;
 	readonly view: ClusterView;
 	/**
 	Time that a peer has to answer before another may be asked, in milliseconds.
 	*/
-	readonly patienceMs: number;
+	readonly answerTimeoutMs: number;
 	readonly logger: Logger;
 	readonly metrics: Metrics;
 };
@@ -36,7 +36,7 @@
  const states = createStateTaker({network, view, patienceMs: 750, logger, metrics});
  states.ask('n2', 'newer');
  */
-export function createStateTaker({network, view, patienceMs, logger, metrics}: StateTakerOptions): StateTaker {
+export function createStateFetcher({network, view, answerTimeoutMs: patienceMs, logger, metrics}: StateFetcherOptions): StateFetcher {
 	/**
 	Number of the question that is open; an answer to an earlier one ends no later one.
 	*/
@@ -52,7 +52,7 @@
 		return isAsking && asked === question;
 	}
 
-	async function takeState(node: string, asked: number, toAsk: StateQuestion): Promise<void> {
+	async function takeState(node: string, asked: number, toAsk: StateRequest): Promise<void> {
 		const startedAt = performance.now();
 		const before = `${view.revision()} ${view.digest()}`;
 		const pauseMs = again.get(node)?.pauseMs ?? patienceMs;
@@ -98,8 +98,8 @@
 	}
 
 	return {
-		canAsk: node => !isAsking && performance.now() >= (again.get(node)?.at ?? 0),
-		ask(node, what) {
+		canRead: node => !isAsking && performance.now() >= (again.get(node)?.at ?? 0),
+		startRead(node, what) {
 			question++;
 			isAsking = true;
 			const asked = question;
--- a/node/gateway/src/create-usage-sync.ts
+++ b/node/gateway/src/create-usage-sync.ts
@@ -64,7 +64,7 @@
 	}
 
 	return {
-		book,
+		counters: book,
 		count(account, at) {
 			addFresh([book.count(toWindow(at), account)]);
 		},
@@ -80,7 +80,7 @@
 
 			told = new Set(targets);
 		},
-		introduce(node) {
+		sendFull(node) {
 			if (listTargets().includes(node)) {
 				sendRows(node, book.list());
 			}
--- a/node/gateway/src/format-news.ts
+++ b/node/gateway/src/format-load-update.ts
@@ -1,5 +1,5 @@
 import type {OriginNews} from '@valvesaddle/news';
-import type {NewsMessage} from './news-message.ts';
+import type {LoadUpdateMessage} from './load-update-message.ts';
 
 /**
 Part of a unit to which sensitivities are told; they are sums of parts of requests.
@@ -12,7 +12,7 @@
  @example
  formatNews({origin: 'n1', nodes: 1, loads: [['i-7f', {...noLoad, open: 2}]], placements: []}).loads; // [['i-7f', 2, [], 0, 0, 0, 0, 0]]
  */
-export function formatNews({nodes, loads, placements}: OriginNews): NewsMessage {
+export function formatLoadUpdate({nodes, loads, placements}: OriginNews): LoadUpdateMessage {
 	return {
 		nodes,
 		loads: loads.map(([endpoint, {open, unread, sensitivity, witnesses, silent, readTokens, readMs}]) => [
--- a/node/gateway/src/link-plan.ts
+++ b/node/gateway/src/link-plan.ts
@@ -9,7 +9,7 @@
 	/**
 	Notes a sign of life that was sent at that time, on this node's steady clock in milliseconds.
 	*/
-	readonly markHeard: (node: string, at: number) => void;
+	readonly markSeen: (node: string, at: number) => void;
 	/**
 	Notes that a link broke; a node whose relay it was moves to another one at once.
 	*/
--- a/node/gateway/src/news-sync.ts
+++ b/node/gateway/src/load-sync.ts
@@ -1,19 +1,19 @@
 /**
 Exchange of news of work with peers.
 */
-export type NewsSync = {
+export type LoadSync = {
 	/**
 	Tells what is new since the last call to linked relays, and to members when it is their turn; `false` when that is nothing.
 	*/
-	readonly send: (isMembersTurn: boolean) => boolean;
+	readonly send: (isMemberInterval: boolean) => boolean;
 	/**
 	Tells a node all that it has to know, as it has just been linked.
 	*/
-	readonly introduce: (node: string) => void;
+	readonly sendFull: (node: string) => void;
 	/**
 	Takes in a peer's message; throws `ERR_VALVESADDLE_MESSAGE_INVALID` for one of a wrong form.
 	*/
-	readonly applyNews: (parameters: unknown, node: string) => void;
+	readonly applyLoadUpdate: (parameters: unknown, node: string) => void;
 	/**
 	Forgets an incarnation of an endpoint that is gone.
 	*/
--- a/node/gateway/src/news-message.ts
+++ b/node/gateway/src/load-update-message.ts
@@ -7,7 +7,7 @@
 /**
 News of work as nodes send them to each other.
 */
-export type NewsMessage = {
+export type LoadUpdateMessage = {
 	readonly nodes: number;
 	readonly loads: readonly LoadRow[];
 	readonly placements: readonly PlacementRow[];
--- a/node/gateway/src/parse-news.ts
+++ b/node/gateway/src/parse-load-update.ts
@@ -17,7 +17,7 @@
  @example
  parseNews({nodes: 1, loads: [['i-7f', 2, [], 0, 0, 0, 0, 0]], placements: []}).loads[0]?.[1].open; // 2
  */
-export function parseNews(message: unknown): Omit<OriginNews, 'origin'> {
+export function parseLoadUpdate(message: unknown): Omit<OriginNews, 'origin'> {
 	const {nodes, loads, placements} = message as Readonly<Record<string, unknown>>;
 	if (!(isAmount(nodes) && Number.isSafeInteger(nodes) && Array.isArray(loads) && Array.isArray(placements))) {
 		throw new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', 'news without nodes, loads or placements');
--- a/node/gateway/src/peer-sync-options.ts
+++ b/node/gateway/src/peer-sync-options.ts
@@ -17,7 +17,7 @@
 	/**
 	Between two messages on the node's work.
 	*/
-	readonly newsMs: number;
+	readonly loadUpdateMs: number;
 	/**
 	Whether requests of callers are open at this node.
 	*/
--- a/node/gateway/src/peer-sync.ts
+++ b/node/gateway/src/peer-sync.ts
@@ -24,6 +24,6 @@
 	/**
 	A request was placed: in a large fleet the node's relay is told soon.
 	*/
-	readonly sendPlaced: () => void;
+	readonly sendPlacements: () => void;
 	readonly close: () => void;
 };
--- a/node/gateway/src/usage-sync.ts
+++ b/node/gateway/src/usage-sync.ts
@@ -15,11 +15,11 @@
 	/**
 	Sends all to a node that has just been linked.
 	*/
-	readonly introduce: (node: string) => void;
+	readonly sendFull: (node: string) => void;
 	/**
 	All that is known.
 	*/
-	readonly book: UsageBook;
+	readonly counters: UsageBook;
 	/**
 	Takes in a peer's message; throws `ZodError` for one of a wrong form.
 	*/
--- a/node/gateway/test/belief-sync.test.ts
+++ b/node/gateway/test/cluster-sync.test.ts
@@ -80,7 +80,7 @@
 		view,
 		follower: {isSteady, hasSettled: () => true},
 		selector,
-		newsMs: 10_000,
+		loadUpdateMs: 10_000,
 		hasOpenRequests: () => true,
 		heartbeatMs: beatMs,
 		meshNodes: 16,
--- a/node/gateway/test/parse-news.test.ts
+++ b/node/gateway/test/parse-load-update.test.ts
@@ -3,8 +3,8 @@
 */
 import fc from 'fast-check';
 import {test} from 'tap';
-import {formatNews} from '../src/format-news.ts';
-import {parseNews} from '../src/parse-news.ts';
+import {formatLoadUpdate} from '../src/format-load-update.ts';
+import {parseLoadUpdate} from '../src/parse-load-update.ts';
 
 const load: readonly unknown[] = ['i-1', 2, [0, 800], 0.5, 1, 0, 100, 7];
 const placement: readonly unknown[] = ['i-1', 'p', ['a'], 600];
@@ -27,7 +27,7 @@
 			.map(row => ({nodes: 1, loads: [], placements: [placement, row]})),
 	];
 	for (const message of wrong) {
-		t.throws(() => parseNews(message), JSON.stringify(message));
+		t.throws(() => parseLoadUpdate(message), JSON.stringify(message));
 	}
 
 	t.end();
@@ -36,8 +36,8 @@
 test('whatever is sent is read or refused; what is read can be told on', t => {
 	fc.assert(fc.property(fc.oneof(fc.jsonValue(), fc.record({nodes: fc.nat(), loads: fc.array(fc.constantFrom(load, load.with(1, 'x'))), placements: fc.array(fc.constantFrom(placement, [1]))})), message => {
 		try {
-			const news = parseNews(message);
-			return JSON.stringify(formatNews({origin: 'n1', ...news})).length > 0;
+			const news = parseLoadUpdate(message);
+			return JSON.stringify(formatLoadUpdate({origin: 'n1', ...news})).length > 0;
 		} catch (error) {
 			return error instanceof Error;
 		}
--- a/node/gateway/test/peer-sync.test.ts
+++ b/node/gateway/test/peer-sync.test.ts
@@ -9,8 +9,8 @@
 import type {PeerEvents, PeerNetwork} from '@valvesaddle/network';
 import {createSelector, noLoad} from '@valvesaddle/selection';
 import {createPeerSync} from '../src/create-peer-sync.ts';
-import {formatNews} from '../src/format-news.ts';
-import {parseNews} from '../src/parse-news.ts';
+import {formatLoadUpdate} from '../src/format-load-update.ts';
+import {parseLoadUpdate} from '../src/parse-load-update.ts';
 
 const peerState: ClusterState = {
 	revision: 9,
@@ -104,7 +104,7 @@
 		view,
 		follower: {isSteady: () => setup.isSteady, hasSettled: () => true},
 		selector,
-		newsMs: 1,
+		loadUpdateMs: 1,
 		hasOpenRequests: () => true,
 		heartbeatMs: silenceBeatMs,
 		meshNodes,
@@ -275,7 +275,7 @@
 	const question = {
 		pool: 'p', objectiveMs: 100, pauseObjectiveMs: 0, urgency: 0, promptTokens: 0, parts: [], tried: new Set<string>(),
 	};
-	const toNews = (endpoint: string, open: number) => formatNews({
+	const toNews = (endpoint: string, open: number) => formatLoadUpdate({
 		origin: '', nodes: 1, loads: [[endpoint, {...noLoad, open}]], placements: [],
 	});
 	handlers['load.news']?.(toNews('i-1', 9), 'r0');
@@ -446,7 +446,7 @@
 	const placements = [{
 		endpoint: 'i-1', pool: 'p', parts: ['a', 'b'], tokens: 600,
 	}];
-	t.same(parseNews(formatNews({
+	t.same(parseLoadUpdate(formatLoadUpdate({
 		origin: 'n1', nodes: 4, loads, placements,
 	})), {
 		nodes: 4,
--- a/node/gateway/test/usage-sync.test.ts
+++ b/node/gateway/test/usage-sync.test.ts
@@ -50,7 +50,7 @@
 	usage.apply({rows: [['n7', 10, 'depot', 2]]}, 'n7');
 	usage.send();
 	t.same(sent, [['r1', {rows: [['n7', 10, 'depot', 2]]}]]);
-	t.same(usage.book.sum(10), {depot: 5});
+	t.same(usage.counters.sum(10), {depot: 5});
 	t.throws(() => {
 		usage.apply({rows: [['n7', 10, 'depot', -2]]}, 'n7');
 	});
