--- a/node/gateway/src/changes-schema.ts
+++ b/node/gateway/src/changes-schema.ts
@@ -2,8 +2,8 @@
 import type {ClusterChanges} from '@valvesaddle/gateway-types';
 
 /**
-Form of changes that a follower of the store passes on. Peers run the same program and prove themselves by token, so only the
-outline is checked.
+Schema of the changes that a follower of the store forwards. Peers run the same program and authenticate with a token, so only
+the outline is checked.
 */
 export const changesSchema = z.object({
 	after: z.int(),
--- a/node/gateway/src/cluster-sync.ts
+++ b/node/gateway/src/cluster-sync.ts
@@ -1,30 +1,30 @@
 import type {ClusterState} from '@valvesaddle/cluster-view';
 
 /**
-Exchange of beliefs on the cluster with peers.
+Exchange of the cluster state with peers.
 */
 export type ClusterSync = {
 	readonly sendHeartbeat: () => void;
 	/**
-	Takes in a peer's message; throws `ZodError` for one of a wrong form.
+	Applies a peer's message; throws `ZodError` if it is malformed.
 	*/
 	readonly applyHeartbeat: (parameters: unknown, node: string) => void;
 	readonly applyChanges: (parameters: unknown, node: string) => void;
 	/**
-	What the last heartbeat of a node spent waiting on its way, in milliseconds.
+	Delay of a node's last heartbeat above the quickest one on its link, in milliseconds.
 	*/
 	readonly getDelay: (node: string) => number;
 	/**
-	All that this node believes, for a peer that asks.
+	The cluster state of this node, for a peer that requests it.
 	*/
 	readonly exportState: (parameters: unknown) => ClusterState;
 	/**
-	Whether the configuration in force is the newest as far as can be told: the store was confirmed of late, and no newer one is
-	heard of.
+	Whether the configuration in use is the newest as far as this node can tell: the store was confirmed recently, and no newer
+	version is known.
 	*/
 	readonly isCurrent: () => boolean;
 	/**
-	Whether this node has to ask the store itself, as a follower for others or since no peer has confirmed anything of late.
+	Whether this node has to watch the store itself, as a follower for others or because no peer has confirmed the store recently.
 	*/
 	readonly isStoreNeeded: () => boolean;
 };
--- a/node/gateway/src/confirmation-table.ts
+++ b/node/gateway/src/confirmation-table.ts
@@ -1,23 +1,23 @@
 import type {Confirmation} from './confirmation.ts';
 
 /**
-Keeps which word of the store is the youngest, whoever passed it on.
+Keeps the most recent confirmation of the store, whichever peer forwarded it.
 */
 export type ConfirmationTable = {
 	/**
-	This node is in touch with the store itself.
+	Records that this node is connected to the store itself.
 	*/
 	readonly confirm: () => void;
 	/**
-	Takes in a word that a peer has passed on, and how old it is, in milliseconds.
+	Records a confirmation that a peer forwarded, and its age in milliseconds.
 	*/
 	readonly record: (confirmation: Confirmation, ageMs: number) => void;
 	/**
-	Age of the youngest word, in milliseconds.
+	Age of the latest confirmation, in milliseconds.
 	*/
 	readonly measureAge: () => number;
 	/**
-	The youngest word; `undefined` while there is none.
+	The latest confirmation; `undefined` while there is none.
 	*/
 	readonly latest: () => Confirmation | undefined;
 };
--- a/node/gateway/src/confirmation.ts
+++ b/node/gateway/src/confirmation.ts
@@ -1,9 +1,9 @@
 /**
-A node's word that it was in touch with the store, and that nothing may have lapsed there.
+Proof that a node was connected to the store without a gap.
 */
 export type Confirmation = {
 	/**
-	Node that was in touch, and the number of its word, which rises.
+	The node that was connected, and the number of its confirmation, which increases.
 	*/
 	readonly by: string;
 	readonly number: number;
--- a/node/gateway/src/count-ready.ts
+++ b/node/gateway/src/count-ready.ts
@@ -2,7 +2,7 @@
 import type {ServingEndpoint} from '@valvesaddle/gateway-types';
 
 /**
- Counts the replicas of a pool that take work, by data centre and kind.
+ Counts the ready replicas of a pool by data centre and kind, spot or on-demand.
 
  @example
  countReady(view.endpoints(), 'drafting'); // [{dataCentre: 'a', isSpot: false, count: 20}]
--- a/node/gateway/src/create-call-recorder.ts
+++ b/node/gateway/src/create-call-recorder.ts
@@ -1,7 +1,7 @@
 import type {Metrics} from '@valvesaddle/metrics';
 
 /**
- Creates the recorder of calls on the store: how many, how many failed, and how long they took, by kind.
+ Creates the recorder of calls to the store: their number, failures and duration, by kind.
 
  @example
  const store = createFleetStore({address, timeoutMs: 1000, onCall: createCallRecorder(metrics)});
--- a/node/gateway/src/create-cluster-sync.ts
+++ b/node/gateway/src/create-cluster-sync.ts
@@ -13,7 +13,7 @@
 import {stateRequestSchema} from './state-request-schema.ts';
 
 /**
-Options of `createBeliefSync`.
+Options of `createClusterSync`.
 */
 type ClusterSyncOptions = {
 	readonly node: string;
@@ -22,7 +22,7 @@
 	readonly view: ClusterView;
 	readonly follower: Pick<StoreFollower, 'isSteady'>;
 	/**
-	Age of the last confirmation from the store, in milliseconds, over which a node trusts no peer and asks the store itself.
+	Age of the last confirmation from the store, in milliseconds, above which a node stops relying on peers and watches the store itself.
 	*/
 	readonly confirmMs: number;
 	readonly logger: Logger;
@@ -30,13 +30,13 @@
 };
 
 /**
-Longest pause between two looks into a difference that stays, in milliseconds.
+Longest delay between two state reads for a digest that still differs, in milliseconds.
 */
-const longestComparePauseMs = 60_000;
+const maximumCompareDelayMs = 60_000;
 /**
-What a peer knows, and how long ago the store confirmed that nothing may have lapsed there, in milliseconds.
+Contents of a peer's heartbeat; `ageMs` is the age of its last confirmation from the store, in milliseconds.
 */
-type Word = {
+type PeerHeartbeat = {
 	readonly revision: number;
 	readonly digest: number | undefined;
 	readonly version: number;
@@ -46,28 +46,28 @@
 type Step = 'none' | 'ask' | 'wait for an answer' | 'leave, not confirmed';
 
 /**
- Creates the exchange of beliefs with peers. Followers of the store pass changes on as they come; a node that has missed
- some asks the peer whose heartbeat shows a higher revision. A node that the store refuses thus stays up to date.
+ Creates the exchange of the cluster state with peers. Followers of the store forward changes as they arrive; a node that missed
+ some reads the state of a peer whose heartbeat has a higher revision. So a node stays up to date while it cannot reach the store.
 
  @example
- const beliefs = createBeliefSync(options);
- beliefs.sendHeartbeat();
- beliefs.isStoreNeeded();
+ const clusterSync = createClusterSync(options);
+ clusterSync.sendHeartbeat();
+ clusterSync.isStoreNeeded();
  */
 export function createClusterSync(options: ClusterSyncOptions): ClusterSync {
 	const {network, links, view, follower, logger, metrics} = options;
 	let isFollowing = true;
 	const confirmations = createConfirmationTable({node: options.node});
-	let lastAhead = '';
-	let compareAgainAt = -Infinity;
-	let comparePauseMs = options.confirmMs;
+	let lastLoggedStep = '';
+	let nextCompareAt = -Infinity;
+	let compareDelayMs = options.confirmMs;
 	const delays = createDelayMeter();
 	const versions = createVersionWatch({view, metrics});
-	const states = createStateFetcher({
+	const stateFetcher = createStateFetcher({
 		network, view, answerTimeoutMs: options.confirmMs / 2, logger, metrics,
 	});
 	/**
-	Peers whose messages come late.
+	Peers whose messages arrive late.
 	*/
 	const latePeers = new Set<string>();
 
@@ -84,41 +84,41 @@
 	}
 
 	/**
-	Whether some peer has had a newer configuration for longer than peers need to pass one on.
+	Whether a peer has had a newer configuration for longer than it takes to receive one.
 	*/
-	function isLeftBehind(): boolean {
+	function hasStaleConfiguration(): boolean {
 		return versions.measureBehind() > options.confirmMs;
 	}
 
 	/**
-	Whether a peer knows what this node does not. One at the same revision may: whether what is kept here as lapsed was removed,
-	or, as the node that this one hears changes from, what was missed on the way to that revision.
+	Whether a peer may have state that this node lacks. At the same revision, that is the case while removals are pending here, or
+	when this node receives its changes from that peer and their digests differ.
 	*/
-	function isBehind(node: string, {revision, digest}: Word): boolean {
-		return revision === view.revision() ? view.hasLapsed() || (links.isSource(node) && isDifferent(digest)) : revision > view.revision();
+	function isBehind(node: string, {revision, digest}: PeerHeartbeat): boolean {
+		return revision === view.revision() ? view.hasLapsed() || (links.isSource(node) && hasDifferentState(digest)) : revision > view.revision();
 	}
 
 	/**
-	Whether a source believes something else at the same revision. A difference that its state does not mend is looked into less
-	and less often.
+	Whether a source has a different state at the same revision. The delay between two reports of a difference doubles while
+	reading the source's state does not resolve it.
 	*/
-	function isDifferent(digest: number | undefined): boolean {
+	function hasDifferentState(digest: number | undefined): boolean {
 		if (digest === undefined) {
 			return false;
 		}
 
 		if (digest === view.digest()) {
-			comparePauseMs = options.confirmMs;
+			compareDelayMs = options.confirmMs;
 			return false;
 		}
 
 		const now = performance.now();
-		if (now < compareAgainAt) {
+		if (now < nextCompareAt) {
 			return false;
 		}
 
-		compareAgainAt = now + comparePauseMs;
-		comparePauseMs = Math.min(longestComparePauseMs, comparePauseMs * 2);
+		nextCompareAt = now + compareDelayMs;
+		compareDelayMs = Math.min(maximumCompareDelayMs, compareDelayMs * 2);
 		metrics.increment('gateway.beliefs-different');
 		return true;
 	}
@@ -142,16 +142,16 @@
 	}
 
 	/**
-	What to do about a peer. A version only rises, so a newer one is asked for whatever the age of the peer's word.
+	Chooses what to do about a peer. Versions only increase, so a newer one is read whatever the age of the peer's confirmation.
 	*/
-	function chooseStep(node: string, word: Word): Step {
-		const {version, ageMs} = word;
+	function chooseStep(node: string, heartbeat: PeerHeartbeat): Step {
+		const {version, ageMs} = heartbeat;
 		const isNewer = version > versions.get();
-		if (!isNewer && !isBehind(node, word)) {
+		if (!isNewer && !isBehind(node, heartbeat)) {
 			return 'none';
 		}
 
-		if (!states.canRead(node)) {
+		if (!stateFetcher.canRead(node)) {
 			return 'wait for an answer';
 		}
 
@@ -159,29 +159,29 @@
 	}
 
 	/**
-	One line for each step taken about a peer that is ahead; heartbeats that bring nothing new write none.
+	Logs each step about a peer that is ahead once, not again for heartbeats that repeat it.
 	*/
-	function recordAhead(node: string, {revision, version, ageMs}: Word, step: Step): void {
+	function recordAhead(node: string, {revision, version, ageMs}: PeerHeartbeat, step: Step): void {
 		if (step === 'none') {
 			return;
 		}
 
-		const fact = [node, revision, view.revision(), version, versions.get(), step].join(' ');
-		if (fact === lastAhead) {
+		const loggedStep = [node, revision, view.revision(), version, versions.get(), step].join(' ');
+		if (loggedStep === lastLoggedStep) {
 			return;
 		}
 
-		lastAhead = fact;
+		lastLoggedStep = loggedStep;
 		logger.info({
 			name: 'peer-ahead', peer: node, peerRevision: revision, revision: view.revision(), peerVersion: version, version: versions.get(), ageMs: Math.round(ageMs), step,
 		});
 	}
 
 	/**
-	What is newer is enough for a node that believes all up to its revision; one that keeps entries which may have lapsed does not.
+	Reads only newer entries if the node's own state is complete up to its revision, or all while removals are pending.
 	*/
-	function askState(node: string, isAhead: boolean): void {
-		states.startRead(node, isAhead && !view.hasLapsed() ? 'newer' : 'all');
+	function readState(node: string, isAhead: boolean): void {
+		stateFetcher.startRead(node, isAhead && !view.hasLapsed() ? 'newer' : 'all');
 	}
 
 	network.events.on('lost', ({data: {node}}) => {
@@ -193,10 +193,10 @@
 			return;
 		}
 
-		const isOwn = source === 'store';
-		// While entries may have lapsed here, peers are told what is new, but not that nothing else was removed.
-		const revision = isOwn && !follower.isSteady() ? after : changes.revision;
-		network.broadcast('cluster.changes', {after, changes: {...changes, revision}}, isOwn ? [...links.listRelays(), ...links.listMembers()] : links.listMembers());
+		const isFromStore = source === 'store';
+		// A follower that isn't steady may have missed removals, so peers get the changes without the new revision.
+		const revision = isFromStore && !follower.isSteady() ? after : changes.revision;
+		network.broadcast('cluster.changes', {after, changes: {...changes, revision}}, isFromStore ? [...links.listRelays(), ...links.listMembers()] : links.listMembers());
 	});
 
 	return {
@@ -211,29 +211,29 @@
 			});
 		},
 		applyHeartbeat(parameters, node) {
-			const {confirmedAgoMs, confirmation, sentAt, ...known} = heartbeatSchema.parse(parameters);
+			const {confirmedAgoMs, confirmation, sentAt, ...position} = heartbeatSchema.parse(parameters);
 			const delayMs = sentAt === undefined ? 0 : delays.measure(node, sentAt);
 			recordDelay(node, delayMs);
-			versions.record(known.version);
-			// What waited on its way says nothing of the time since it was sent.
-			const word: Word = {...known, digest: known.digest, ageMs: confirmedAgoMs + delayMs};
+			versions.record(position.version);
+			// A delayed heartbeat confirms nothing after the time it was sent.
+			const heartbeat: PeerHeartbeat = {...position, digest: position.digest, ageMs: confirmedAgoMs + delayMs};
 			if (confirmation !== undefined) {
-				confirmations.record(confirmation, word.ageMs);
+				confirmations.record(confirmation, heartbeat.ageMs);
 			}
 
-			const step = chooseStep(node, word);
-			recordAhead(node, word, step);
+			const step = chooseStep(node, heartbeat);
+			recordAhead(node, heartbeat, step);
 			if (step === 'ask') {
-				askState(node, word.revision > view.revision());
+				readState(node, heartbeat.revision > view.revision());
 			}
 		},
 		applyChanges(parameters, node) {
 			const {after, changes} = changesSchema.parse(parameters);
 			const hasGap = after > view.revision();
-			// What is newer holds whatever was missed before it; the revision waits for what was missed.
+			// Newer entries apply despite the gap; the revision advances only once the gap is closed.
 			view.applyChanges(hasGap ? {...changes, revision: view.revision()} : changes, 'peer');
-			if (hasGap && states.canRead(node)) {
-				askState(node, true);
+			if (hasGap && stateFetcher.canRead(node)) {
+				readState(node, true);
 			}
 		},
 		getDelay: delays.get,
@@ -243,7 +243,7 @@
 		},
 		isCurrent: () => isConfirmed() && !versions.isBehind() && !view.hasUnreadConfiguration(),
 		isStoreNeeded() {
-			const isNeeded = links.isMesh() || links.isFollower() || !isConfirmed() || isLeftBehind();
+			const isNeeded = links.isMesh() || links.isFollower() || !isConfirmed() || hasStaleConfiguration();
 			if (isNeeded !== isFollowing) {
 				isFollowing = isNeeded;
 				logger.info({name: 'store-following', isFollowing, confirmedAgoMs: measureAge()});
--- a/node/gateway/src/create-confirmation-table.ts
+++ b/node/gateway/src/create-confirmation-table.ts
@@ -2,66 +2,66 @@
 import type {ConfirmationTable} from './confirmation-table.ts';
 
 /**
-Nodes whose last word is kept; a fleet has four that are in touch for all.
+Nodes whose last confirmation is kept; a fleet has only a few followers of the store.
 */
-const mostNodes = 64;
+const maximumNodes = 64;
 /**
-Age that stands for a word that never was, in milliseconds.
+Age while there is no confirmation, in milliseconds.
 */
-const neverMs = 1e9;
+const unconfirmedAgeMs = 1e9;
 
-type Word = {
+type Entry = {
 	readonly number: number;
 	/**
-	When it was given, as far as this node can tell, on its steady clock in milliseconds.
+	Estimated time of the confirmation, on this node's monotonic clock in milliseconds.
 	*/
 	readonly at: number;
 };
 
 /**
- Creates the book of confirmations. A word counts from when it was first heard, not from each time that a peer passes it on:
- what it spends on its way is not known, so nodes that told each other of it again and again would keep it young.
+ Creates the confirmation table. The age of a confirmation counts from its first receipt: its time in transit is unknown, so
+ nodes that forward it to each other repeatedly would otherwise keep it from aging.
 
  @example
- const confirmations = createConfirmationBook({node: 'n1'});
+ const confirmations = createConfirmationTable({node: 'n1'});
  confirmations.record({by: 'r1', number: 7}, 20);
  confirmations.measureAge(); // 20
  */
 export function createConfirmationTable({node}: {readonly node: string}): ConfirmationTable {
-	const words = new Map<string, Word>();
-	let last: Confirmation | undefined;
-	let lastAt = -Infinity;
-	let own = 0;
+	const entries = new Map<string, Entry>();
+	let latest: Confirmation | undefined;
+	let latestAt = -Infinity;
+	let ownNumber = 0;
 
-	function addWord(confirmation: Confirmation, at: number): void {
+	function addEntry(confirmation: Confirmation, at: number): void {
 		const {by, number} = confirmation;
-		if (number <= (words.get(by)?.number ?? -1)) {
+		if (number <= (entries.get(by)?.number ?? -1)) {
 			return;
 		}
 
-		words.delete(by);
-		words.set(by, {number, at});
-		if (words.size > mostNodes) {
-			words.delete(words.keys().next().value ?? '');
+		entries.delete(by);
+		entries.set(by, {number, at});
+		if (entries.size > maximumNodes) {
+			entries.delete(entries.keys().next().value ?? '');
 		}
 
-		if (at <= lastAt) {
+		if (at <= latestAt) {
 			return;
 		}
 
-		last = confirmation;
-		lastAt = at;
+		latest = confirmation;
+		latestAt = at;
 	}
 
 	return {
 		confirm() {
-			own++;
-			addWord({by: node, number: own}, performance.now());
+			ownNumber++;
+			addEntry({by: node, number: ownNumber}, performance.now());
 		},
 		record(confirmation, ageMs) {
-			addWord(confirmation, performance.now() - ageMs);
+			addEntry(confirmation, performance.now() - ageMs);
 		},
-		measureAge: () => Math.min(neverMs, Math.round(performance.now() - lastAt)),
-		latest: () => last,
+		measureAge: () => Math.min(unconfirmedAgeMs, Math.round(performance.now() - latestAt)),
+		latest: () => latest,
 	};
 }
--- a/node/gateway/src/create-delay-meter.ts
+++ b/node/gateway/src/create-delay-meter.ts
@@ -1,18 +1,18 @@
 import type {DelayMeter} from './delay-meter.ts';
 
 /**
-Time after which the least difference is taken anew, in milliseconds; the one before counts as long again, so that steady clocks
-that drift by 50 parts in a million seem 6 ms apart at most.
+Time after which the smallest difference is measured again, in milliseconds. That of the window before counts too, so clocks that
+drift by 50 ppm differ by 6 ms at most.
 */
-const spanMs = 60_000;
+const windowMs = 60_000;
 
 type Link = {
 	/**
-	Least difference between sending and receipt, in this span and in the one before.
+	Smallest difference between sending and receipt, in this window and in the one before.
 	*/
-	readonly least: number;
-	readonly leastBefore: number;
-	readonly beganAt: number;
+	readonly minimum: number;
+	readonly previousMinimum: number;
+	readonly startedAt: number;
 	/**
 	Delay of the last message, in milliseconds.
 	*/
@@ -20,9 +20,8 @@
 };
 
 /**
- Creates the meter of delays. Steady clocks of two processes differ by nearly a constant, so the smallest difference between
- sending and receipt on a link of late stands for its usual way, and what is over it was spent waiting, in a queue or by a
- process that stood still.
+ Creates the meter of delays. The monotonic clocks of two processes differ by a nearly constant offset, so the smallest recent
+ difference between sending and receipt on a link is the baseline; what exceeds it was spent in a queue or in a paused process.
 
  @example
  const delays = createDelayMeter();
@@ -31,11 +30,11 @@
 export function createDelayMeter(): DelayMeter {
 	const links = new Map<string, Link>();
 
-	function updateSpan(link: Link, now: number): Link {
-		return now - link.beganAt < spanMs
+	function updateWindow(link: Link, now: number): Link {
+		return now - link.startedAt < windowMs
 			? link
 			: {
-				...link, least: Infinity, leastBefore: link.least, beganAt: now,
+				...link, minimum: Infinity, previousMinimum: link.minimum, startedAt: now,
 			};
 	}
 
@@ -43,12 +42,12 @@
 		measure(node, sentAt) {
 			const now = performance.now();
 			const difference = now - sentAt;
-			const link = updateSpan(links.get(node) ?? {
-				least: Infinity, leastBefore: Infinity, beganAt: now, delay: 0,
+			const link = updateWindow(links.get(node) ?? {
+				minimum: Infinity, previousMinimum: Infinity, startedAt: now, delay: 0,
 			}, now);
-			const least = Math.min(difference, link.least);
-			const delay = difference - Math.min(least, link.leastBefore);
-			links.set(node, {...link, least, delay});
+			const minimum = Math.min(difference, link.minimum);
+			const delay = difference - Math.min(minimum, link.previousMinimum);
+			links.set(node, {...link, minimum, delay});
 			return delay;
 		},
 		get: node => links.get(node)?.delay ?? 0,
--- a/node/gateway/src/create-duty-task.ts
+++ b/node/gateway/src/create-duty-task.ts
@@ -12,29 +12,29 @@
 
 const msPerSecond = 1000;
 /**
-Entry of the store that names the holder of all duties.
+Key of the store's entry that names the holder of all duties.
 */
 const holderKey = 'holder';
 /**
-Renewals within a lease: two may fail before it ends.
+Renewals within a lease: two may fail before it expires.
 */
 const renewalsPerLease = 4;
 /**
-Time after its start from which a process knows the replicas that serve, in milliseconds: an order before that could take away all.
+Delay of scaling after the start, in milliseconds: before the ready replicas are known, an order could remove all of them.
 */
-const knownMs = 2500;
+const scalingDelayMs = 2500;
 /**
-Pauses between two looks at what is due, in milliseconds.
+Interval between two checks for due reports or orders, in milliseconds.
 */
-const stepMs = 500;
+const checkIntervalMs = 500;
 /**
-Time beside that of the platform's rule for which a node leaves a duty to others that it has held, in milliseconds.
+Added to `order_ms` for the time in which a node that held the duties leaves them to others, in milliseconds.
 */
-const asideMarginMs = 1000;
+const standAsideMarginMs = 1000;
 
 /**
- Creates a node's part in the duties of one node at a time. Nodes that follow the store stand as candidates; the holder reports
- usage and orders replicas.
+ Creates a node's part in the singleton duties. Followers of the store are candidates; the holder of the lease reports usage and
+ orders replicas.
 
  @example
  const duties = createDutyTask(options);
@@ -60,7 +60,7 @@
 		},
 	});
 	const lease = createDutyLease({
-		store, key: holderKey, holder: options.process, leaseMs: settings.lease_ms, standAsideMs: settings.order_ms + asideMarginMs, logger, metrics,
+		store, key: holderKey, holder: options.process, leaseMs: settings.lease_ms, standAsideMs: settings.order_ms + standAsideMarginMs, logger, metrics,
 	});
 
 	function getProof(): DutyProof | undefined {
@@ -100,12 +100,12 @@
 		}
 	});
 
-	async function runRepeatedly(pauseMs: number, step: () => Promise<void>): Promise<void> {
+	async function runRepeatedly(intervalMs: number, step: () => Promise<void>): Promise<void> {
 		while (!closing.signal.aborted) {
 			// eslint-disable-next-line no-await-in-loop -- one step after the other
 			await step();
-			// eslint-disable-next-line no-await-in-loop -- the pause between two steps
-			await wait(pauseMs, undefined, {ref: false});
+			// eslint-disable-next-line no-await-in-loop -- the delay between two steps
+			await wait(intervalMs, undefined, {ref: false});
 		}
 	}
 
@@ -123,12 +123,12 @@
 	return {
 		start() {
 			void runRepeatedly(settings.lease_ms / renewalsPerLease, updateLease);
-			void runRepeatedly(stepMs, async () => {
-				if (offered.has('scaling') && getProof() !== undefined && performance.now() - startedAt >= knownMs) {
+			void runRepeatedly(checkIntervalMs, async () => {
+				if (offered.has('scaling') && getProof() !== undefined && performance.now() - startedAt >= scalingDelayMs) {
 					await scaler.update();
 				}
 			});
-			void runRepeatedly(stepMs, async () => {
+			void runRepeatedly(checkIntervalMs, async () => {
 				if (offered.has('usage') && getProof() !== undefined) {
 					await reporter.update(options.toUnixTime(performance.now()));
 				}
--- a/node/gateway/src/create-gateway.ts
+++ b/node/gateway/src/create-gateway.ts
@@ -27,21 +27,21 @@
 
 const msPerSecond = 1000;
 /**
-Bytes of the random parts of a node's id and token.
+Random bytes of a node's id and token.
 */
 const idBytes = 4;
 const tokenBytes = 18;
 /**
-Part of the grace time that is left unused, for what still has to be closed and written.
+Share of the grace period that is reserved for closing connections and writing logs.
 */
-const unusedGraceShare = 0.1;
+const reservedGraceShare = 0.1;
 /**
 How long a node that stops waits for the store and its peers, in milliseconds.
 */
-const closeMs = 200;
+const closeTimeoutMs = 200;
 
 /**
- Creates a gateway node from its settings: all tasks, wired together.
+ Creates a gateway node from its settings and connects its components.
 
  @example
  const gateway = createGateway({settings});
@@ -102,7 +102,7 @@
 			sync.sendPlacements();
 		},
 	});
-	// A time of day that is set while the process runs moves no request into another window.
+	// Fixed at the start, so that a change of the system time moves no request into another window.
 	const startedAt = Date.now() - performance.now();
 	const toUnixTime = (at: number): number => startedAt + at;
 	const {sync, handlers} = createPeerSync({
@@ -120,9 +120,9 @@
 		logger,
 		metrics,
 	});
-	let mostNodes = retry.assumed_nodes;
+	let highestNodeCount = retry.assumed_nodes;
 	const budget = createRetryBudget({
-		ratio: retry.ratio, slack: retry.slack, windowMs: retry.window_s * msPerSecond, countNodes: () => mostNodes,
+		ratio: retry.ratio, slack: retry.slack, windowMs: retry.window_s * msPerSecond, countNodes: () => highestNodeCount,
 	});
 	const exchanges = createExchangeClient({
 		connectMs: settings.limits.connect_ms,
@@ -173,7 +173,7 @@
 		front.configure();
 	});
 	view.events.on('incarnation', ({data: {endpoint, before}}) => {
-		// A request that leaves the process that has ended must not take one of its connections.
+		// A retry must not reuse a connection to the terminated process.
 		exchanges.closeAddress(before.address);
 		selector.setIncarnation(endpoint);
 	});
@@ -185,22 +185,22 @@
 		exchanges.closeAddress(endpoint.address);
 	});
 	view.events.on('node', () => {
-		mostNodes = Math.max(mostNodes, view.nodes().length);
+		highestNodeCount = Math.max(highestNodeCount, view.nodes().length);
 	});
 
 	async function close(): Promise<void> {
 		front.cut();
 		sync.close();
-		await Promise.race([duties?.close(), wait(closeMs, undefined, {ref: false})]);
-		await Promise.race([follower.close(), wait(closeMs, undefined, {ref: false})]);
+		await Promise.race([duties?.close(), wait(closeTimeoutMs, undefined, {ref: false})]);
+		await Promise.race([follower.close(), wait(closeTimeoutMs, undefined, {ref: false})]);
 		view.close();
-		await Promise.race([Promise.all([network.close(), ready.close(), metricsServer?.close(), exchanges.close(), store.close(), metrics.close()]), wait(closeMs, undefined, {ref: false})]);
+		await Promise.race([Promise.all([network.close(), ready.close(), metricsServer?.close(), exchanges.close(), store.close(), metrics.close()]), wait(closeTimeoutMs, undefined, {ref: false})]);
 		logger.info({name: 'node-state', from: 'leaving', to: 'stopped'});
 		await logger.flush();
 	}
 
 	/**
-	The node serves callers also where its figures cannot be asked for.
+	The node serves callers even if its metrics server cannot listen.
 	*/
 	async function startMetrics(): Promise<void> {
 		try {
@@ -212,13 +212,13 @@
 
 	async function drain(): Promise<void> {
 		isLeaving = true;
-		// Another node takes over at once, long before the last answer has ended here.
+		// Another node can take over before the last answer has ended here.
 		void duties?.close();
 		logger.info({
 			name: 'node-state', from: 'serving', to: 'leaving', open: forwarder.countOpen(),
 		});
-		const usableMs = drainSettings.grace_s * msPerSecond * (1 - unusedGraceShare);
-		// The balancer needs a few misses to send no more callers here.
+		const usableMs = drainSettings.grace_s * msPerSecond * (1 - reservedGraceShare);
+		// The load balancer stops sending callers after a few failed health checks.
 		await wait(Math.min(drainSettings.balancer_ms, usableMs));
 		await Promise.race([front.drain(), wait(usableMs - drainSettings.balancer_ms, undefined, {ref: false})]);
 		await close();
--- a/node/gateway/src/create-link-plan.ts
+++ b/node/gateway/src/create-link-plan.ts
@@ -14,23 +14,23 @@
 	readonly view: ClusterView;
 	readonly meshNodes: number;
 	/**
-	Silence after which a link is broken.
+	Time without a message after which a link is closed.
 	*/
 	readonly linkTimeoutMs: number;
 	/**
-	Time after which a relay that could not be reached is tried again.
+	Time after which an unreachable relay is tried again.
 	*/
 	readonly suspectMs: number;
 	readonly logger: Logger;
 	/**
-	Sends the node's work in full; that opens the link when there is none.
+	Sends the node's full load; this opens the link if there is none.
 	*/
 	readonly sendFullState: (node: string) => void;
 };
 
 /**
- Creates the keeper of a node's links. `update` is called regularly: it plans anew when the fleet has changed, opens what is
- missing and breaks what is silent, since an open connection may fall silent for good.
+ Creates the plan of a node's links. `update` is called periodically: it plans again when the fleet has changed, opens missing
+ links and closes those that timed out, since a connection can stay open without delivering messages.
 
  @example
  const links = createLinkPlan(options);
@@ -38,11 +38,11 @@
  links.isRelay('n1');
  */
 export function createLinkPlan(options: LinkPlanOptions): LinkPlan {
-	const {self, network, view, logger, linkTimeoutMs: silenceMs} = options;
-	const heardAt = new Map<string, number>();
+	const {self, network, view, logger, linkTimeoutMs} = options;
+	const lastSeenAt = new Map<string, number>();
 	const suspectedAt = new Map<string, number>();
 	/**
-	Links that this node opened; what others opened is theirs to close.
+	Links that this node opened; links that peers opened are closed by them.
 	*/
 	const opened = new Set<string>();
 	let overlay: Overlay = {
@@ -60,7 +60,7 @@
 		return overlay.relays.has(node);
 	}
 
-	function planAnew(): void {
+	function updateOverlay(): void {
 		isChanged = false;
 		overlay = planOverlay([...view.nodes().filter(({id}) => id !== self.id), self], {meshNodes: options.meshNodes});
 	}
@@ -70,20 +70,20 @@
 	}
 
 	/**
-	Links that were never heard count from when they were first asked for.
+	For a link without a message, the timeout starts at the first check.
 	*/
-	function isSilent(node: string, now: number): boolean {
-		const at = heardAt.get(node) ?? now;
-		heardAt.set(node, at);
-		return now - at > silenceMs;
+	function hasTimedOut(node: string, now: number): boolean {
+		const at = lastSeenAt.get(node) ?? now;
+		lastSeenAt.set(node, at);
+		return now - at > linkTimeoutMs;
 	}
 
 	function markSuspect(node: string, now: number): void {
-		heardAt.delete(node);
+		lastSeenAt.delete(node);
 		suspectedAt.set(node, now);
 		network.disconnect(node);
 		logger.info({
-			name: 'peer-state', peer: node, reachable: false, reason: `silent for ${silenceMs} ms`,
+			name: 'peer-state', peer: node, reachable: false, reason: `silent for ${linkTimeoutMs} ms`,
 		});
 	}
 
@@ -93,7 +93,7 @@
 		}
 
 		parent = next;
-		heardAt.delete(next ?? '');
+		lastSeenAt.delete(next ?? '');
 		logger.info({
 			name: 'overlay-changed', nodes: view.nodes().length, relays: overlay.relays.size, isRelay: isRelay(self.id), parent: next,
 		});
@@ -103,7 +103,7 @@
 	}
 
 	function updateParent(now: number): void {
-		if (parent !== undefined && isSilent(parent, now)) {
+		if (parent !== undefined && hasTimedOut(parent, now)) {
 			markSuspect(parent, now);
 		}
 
@@ -112,7 +112,7 @@
 			moveTo(chooseParent(overlay, {node: self.id, dataCentre: self.dataCentre, suspects: listSuspects(now)}));
 		}
 
-		closeOpened(node => node !== parent);
+		closeOpenedLinks(node => node !== parent);
 	}
 
 	function findSource(): string | undefined {
@@ -124,9 +124,9 @@
 		return parent ?? [...overlay.followers].find(id => connected.has(id));
 	}
 
-	function closeOpened(isNeedless: (node: string) => boolean): void {
+	function closeOpenedLinks(isUnneeded: (node: string) => boolean): void {
 		for (const node of opened) {
-			if (!isNeedless(node)) {
+			if (!isUnneeded(node)) {
 				continue;
 			}
 
@@ -141,13 +141,13 @@
 	}
 
 	/**
-	Of two relays the one with the smaller id opens the link.
+	Of two relays, the one with the smaller id opens the link.
 	*/
 	function updateRelays(now: number): void {
 		moveTo(undefined);
 		const connected = new Set(network.connected());
 		for (const node of connected) {
-			if (isSilent(node, now)) {
+			if (hasTimedOut(node, now)) {
 				markSuspect(node, now);
 			}
 		}
@@ -158,15 +158,15 @@
 			}
 		}
 
-		closeOpened(node => !isRelay(node));
+		closeOpenedLinks(node => !isRelay(node));
 	}
 
 	/**
-	A process that was frozen itself has heard nobody, whoever may have spoken.
+	After a pause of this process, missing messages are no evidence that a link has failed.
 	*/
-	function adjustForOwnPause(now: number): void {
-		if (now - updatedAt > silenceMs / 2) {
-			heardAt.clear();
+	function adjustForProcessPause(now: number): void {
+		if (now - updatedAt > linkTimeoutMs / 2) {
+			lastSeenAt.clear();
 		}
 
 		updatedAt = now;
@@ -180,9 +180,9 @@
 	return {
 		update() {
 			const now = performance.now();
-			adjustForOwnPause(now);
+			adjustForProcessPause(now);
 			if (isChanged) {
-				planAnew();
+				updateOverlay();
 			}
 
 			if (isRelay(self.id)) {
@@ -192,10 +192,10 @@
 			}
 		},
 		markSeen(node, at) {
-			heardAt.set(node, Math.max(at, heardAt.get(node) ?? at));
+			lastSeenAt.set(node, Math.max(at, lastSeenAt.get(node) ?? at));
 		},
 		markLost(node) {
-			heardAt.delete(node);
+			lastSeenAt.delete(node);
 			if (node !== parent) {
 				return;
 			}
--- a/node/gateway/src/create-load-sync.ts
+++ b/node/gateway/src/create-load-sync.ts
@@ -7,7 +7,7 @@
 import type {LoadSync} from './load-sync.ts';
 
 /**
-Options of `createNewsSync`.
+Options of `createLoadSync`.
 */
 type LoadSyncOptions = {
 	readonly node: string;
@@ -15,79 +15,79 @@
 	readonly links: Pick<LinkPlan, 'isRelay' | 'listRelays' | 'listMembers'>;
 	readonly selector: Pick<Selector, 'takeNews' | 'applyNews' | 'setUnseenFactor' | 'removeNode'>;
 	/**
-	Nodes of the fleet that are known.
+	Number of known nodes in the fleet.
 	*/
 	readonly countNodes: () => number;
 };
 
 /**
- Creates the exchange of work with peers: each node tells its own to the relays that it is linked to, relays pass it on.
+ Creates the exchange of load updates with peers: each node sends its own load to the relays that it is linked to, which forward it.
 
  @example
- const news = createNewsSync({node: 'n1', network, links, selector, countNodes: () => 84});
- news.send(true);
+ const loadSync = createLoadSync({node: 'n1', network, links, selector, countNodes: () => 84});
+ loadSync.send(true);
  */
 export function createLoadSync({node: self, network, links, selector, countNodes}: LoadSyncOptions): LoadSync {
-	const relay = createNewsRelay({node: self});
+	const aggregator = createNewsRelay({node: self});
 	/**
-	Nodes that each linked node's news stand for.
+	Number of nodes whose load each linked node reports.
 	*/
-	const origins = new Map<string, number>();
+	const nodeCounts = new Map<string, number>();
 
-	function updateUnseen(): void {
-		const heard = origins.values().reduce((sum, nodes) => sum + nodes, 1);
-		selector.setUnseenFactor(Math.max(1, countNodes() / heard));
+	function updateUnseenFactor(): void {
+		const reported = nodeCounts.values().reduce((sum, nodes) => sum + nodes, 1);
+		selector.setUnseenFactor(Math.max(1, countNodes() / reported));
 	}
 
 	/**
-	Sends news to a node; `false` when there are none.
+	Sends an update to a node; `false` if there is none.
 	*/
-	function wasSent(node: string, news: OriginNews | undefined): boolean {
-		if (news === undefined) {
+	function wasSent(node: string, update: OriginNews | undefined): boolean {
+		if (update === undefined) {
 			return false;
 		}
 
-		network.notify(node, 'load.news', formatLoadUpdate(news));
+		network.notify(node, 'load.news', formatLoadUpdate(update));
 		return true;
 	}
 
 	return {
-		send(isMembersTurn) {
-			updateUnseen();
+		send(isMemberInterval) {
+			updateUnseenFactor();
 			const own = selector.takeNews();
 			if (own !== undefined) {
-				relay.addOwn(own);
+				aggregator.addOwn(own);
 			}
 
-			// What waits in a full link would keep newer changes of the configuration behind it.
+			// Updates that queue on a congested link would delay configuration changes behind them.
 			const relays = links.listRelays().filter(node => network.isReady(node));
-			const members = isMembersTurn ? links.listMembers().filter(node => network.isReady(node)) : [];
-			const toldRelays = relays.filter(node => wasSent(node, relay.takeForRelay(node)));
-			const toldMembers = members.filter(node => wasSent(node, relay.takeForMember(node)));
-			return toldRelays.length + toldMembers.length > 0;
+			const members = isMemberInterval ? links.listMembers().filter(node => network.isReady(node)) : [];
+			const updatedRelays = relays.filter(node => wasSent(node, aggregator.takeForRelay(node)));
+			const updatedMembers = members.filter(node => wasSent(node, aggregator.takeForMember(node)));
+			return updatedRelays.length + updatedMembers.length > 0;
 		},
 		sendFull(node) {
-			relay.removeLink(node);
+			aggregator.removeLink(node);
 			const isMember = links.isRelay(self) && !links.isRelay(node);
-			wasSent(node, isMember ? relay.takeForMember(node) : relay.takeForRelay(node));
+			wasSent(node, isMember ? aggregator.takeForMember(node) : aggregator.takeForRelay(node));
 		},
 		applyLoadUpdate(parameters, node) {
-			const news: OriginNews = {...parseLoadUpdate(parameters), origin: node};
-			origins.set(node, news.nodes);
-			const current = {...news, ...selector.applyNews(node, news)};
+			const update: OriginNews = {...parseLoadUpdate(parameters), origin: node};
+			nodeCounts.set(node, update.nodes);
+			const current = {...update, ...selector.applyNews(node, update)};
 			if (!links.isRelay(node)) {
-				relay.addMember(current);
+				aggregator.addMember(current);
 			} else if (links.isRelay(self)) {
-				// A member passes nothing on; once it is a relay, the others tell it all.
-				relay.addGroup(current);
+				// Members don't forward; when one becomes a relay, the other relays send it their full load.
+				aggregator.addGroup(current);
 			}
 		},
-		removeEndpoint: relay.removeEndpoint,
+		removeEndpoint: aggregator.removeEndpoint,
 		removeLink(node) {
-			relay.removeLink(node);
-			origins.delete(node);
+			aggregator.removeLink(node);
+			nodeCounts.delete(node);
 			selector.removeNode(node);
-			relay.removeOrigin(node);
+			aggregator.removeOrigin(node);
 		},
 	};
 }
--- a/node/gateway/src/create-peer-sync.ts
+++ b/node/gateway/src/create-peer-sync.ts
@@ -12,23 +12,23 @@
 type Handlers = Readonly<Record<string, (parameters: unknown, node: string) => unknown>>;
 
 /**
-Most that the pause between messages on work grows with the fleet, between relays and for a member: news must stay younger than a short
-stream.
+Limits on how far the load update interval grows with the fleet, between relays and for members: updates must arrive within the
+duration of a short stream.
 */
-const longestRelayFactor = 6;
-const longestMemberFactor = 12;
+const maximumRelayFactor = 6;
+const maximumMemberFactor = 12;
 /**
-A member of a large fleet tells its relay of a request that it has placed within this time, in milliseconds, and of all else in its
-turn: what others do not know of yet, they place elsewhere.
+Delay after which a member of a large fleet sends a new placement to its relay, in milliseconds. Other nodes route the same prompt
+prefix elsewhere until they receive it, so it doesn't wait for the next interval.
 */
-const placedMs = 30;
+const placementDelayMs = 30;
 /**
-Heartbeats that may be missed before a link counts as silent, or a confirmation of the store as too old.
+Heartbeats that may be missed before a link times out, or a confirmation of the store counts as too old.
 */
-const missedHeartbeats = 6;
+const allowedMissedHeartbeats = 6;
 
 /**
- Creates the exchange of beliefs and work with peers, and the handlers for their messages.
+ Creates the exchange of cluster state and load with peers, and the handlers for their messages.
 
  @example
  const {sync, handlers} = createPeerSync(options);
@@ -38,132 +38,132 @@
 export function createPeerSync(options: PeerSyncOptions): {readonly sync: PeerSync; readonly handlers: Handlers} {
 	const {self, network, view, follower, selector, heartbeatMs, logger, metrics} = options;
 	const closing = new AbortController();
-	const silenceMs = missedHeartbeats * heartbeatMs;
+	const linkTimeoutMs = allowedMissedHeartbeats * heartbeatMs;
 	/**
-	Factor on the pause between messages on work since the last one with anything in it.
+	Factor on the load update interval; it doubles while there is nothing to send and no request is open.
 	*/
-	let quietFactor = 1;
-	let membersToldAt = -Infinity;
-	let placedTimer: NodeJS.Timeout | undefined;
+	let idleFactor = 1;
+	let membersSentAt = -Infinity;
+	let placementTimer: NodeJS.Timeout | undefined;
 	const links = createLinkPlan({
-		self, network, view, meshNodes: options.meshNodes, linkTimeoutMs: silenceMs, suspectMs: options.suspectMs, logger,
+		self, network, view, meshNodes: options.meshNodes, linkTimeoutMs, suspectMs: options.suspectMs, logger,
 		sendFullState(node) {
-			news.sendFull(node);
+			loadSync.sendFull(node);
 		},
 	});
-	const news = createLoadSync({
+	const loadSync = createLoadSync({
 		node: self.id, network, links, selector, countNodes: () => view.nodes().length,
 	});
 	const usage = options.usage && createUsageSync({
 		node: self.id, network, links, ...options.usage,
 	});
-	const beliefs = createClusterSync({
-		node: self.id, network, links, view, follower, confirmMs: silenceMs, logger, metrics,
+	const clusterSync = createClusterSync({
+		node: self.id, network, links, view, follower, confirmMs: linkTimeoutMs, logger, metrics,
 	});
 
 	/**
-	With nothing open and nothing to tell, a node wakes up less and less often.
+	The interval of an idle node grows up to that of heartbeats, so that it wakes up less often.
 	*/
-	function measureNewsPause(): number {
-		const usualMs = measureUsualPause(links.isRelay(self.id) ? longestRelayFactor : longestMemberFactor);
-		const pauseMs = Math.max(usualMs, Math.min(heartbeatMs, quietFactor * usualMs));
-		// Told together with heartbeats, they cost no wake-up of their own.
-		return heartbeatMs / Math.max(1, Math.round(heartbeatMs / pauseMs));
+	function measureLoadUpdateInterval(): number {
+		const baseMs = measureBaseInterval(links.isRelay(self.id) ? maximumRelayFactor : maximumMemberFactor);
+		const intervalMs = Math.max(baseMs, Math.min(heartbeatMs, idleFactor * baseMs));
+		// A fraction of the heartbeat interval, so that an idle node wakes up once for both.
+		return heartbeatMs / Math.max(1, Math.round(heartbeatMs / intervalMs));
 	}
 
-	function measureUsualPause(longestFactor: number): number {
-		return options.loadUpdateMs * Math.min(longestFactor, measureFleet(view.nodes().length));
+	function measureBaseInterval(maximumFactor: number): number {
+		return options.loadUpdateMs * Math.min(maximumFactor, measureFleet(view.nodes().length));
 	}
 
-	function sendNews(): void {
+	function sendLoadUpdates(): void {
 		const now = performance.now();
-		// A turn that is nearly due is taken now: the next one would be late by a whole pause of the relays.
-		const isMembersTurn = now - membersToldAt >= measureUsualPause(longestMemberFactor) - (measureUsualPause(longestRelayFactor) / 2);
-		membersToldAt = isMembersTurn ? now : membersToldAt;
-		const wasTold = news.send(isMembersTurn);
-		quietFactor = wasTold || options.hasOpenRequests() ? 1 : quietFactor * 2;
+		// A member interval that is nearly due starts now, or it would be late by a whole relay interval.
+		const isMemberInterval = now - membersSentAt >= measureBaseInterval(maximumMemberFactor) - (measureBaseInterval(maximumRelayFactor) / 2);
+		membersSentAt = isMemberInterval ? now : membersSentAt;
+		const wasSent = loadSync.send(isMemberInterval);
+		idleFactor = wasSent || options.hasOpenRequests() ? 1 : idleFactor * 2;
 	}
 
 	/**
-	Relays tell soon enough in their turns.
+	Relays, and members of a small fleet, send placements soon enough with their load updates.
 	*/
-	function sendPlaced(): void {
-		if (links.isRelay(self.id) || measureUsualPause(longestMemberFactor) <= placedMs) {
+	function sendPlacements(): void {
+		if (links.isRelay(self.id) || measureBaseInterval(maximumMemberFactor) <= placementDelayMs) {
 			return;
 		}
 
-		placedTimer ??= setTimeout(() => {
-			placedTimer = undefined;
-			news.send(false);
-		}, placedMs).unref();
+		placementTimer ??= setTimeout(() => {
+			placementTimer = undefined;
+			loadSync.send(false);
+		}, placementDelayMs).unref();
 	}
 
-	async function runRepeatedly(measurePause: () => number, step: () => void): Promise<void> {
+	async function runRepeatedly(measureInterval: () => number, step: () => void): Promise<void> {
 		while (!closing.signal.aborted) {
 			step();
 			// eslint-disable-next-line no-await-in-loop -- one step after the other
-			await wait(measureTick(measurePause()), undefined, {ref: false});
+			await wait(measureTick(measureInterval()), undefined, {ref: false});
 		}
 	}
 
 	/**
-	Hears a message: whatever it says, its sender was alive when it was sent.
+	Marks the sender as live when the message was sent, then handles the message.
 	*/
-	function withSign(handle: (parameters: unknown, node: string) => unknown): Handlers[string] {
+	function withLastSeen(handle: (parameters: unknown, node: string) => unknown): Handlers[string] {
 		return (parameters, node) => {
-			links.markSeen(node, performance.now() - beliefs.getDelay(node));
+			links.markSeen(node, performance.now() - clusterSync.getDelay(node));
 			return handle(parameters, node);
 		};
 	}
 
 	view.events.on('incarnation', ({data: {before}}) => {
-		news.removeEndpoint(formatIncarnation(before));
+		loadSync.removeEndpoint(formatIncarnation(before));
 	});
 	view.events.on('endpointRemoved', ({data: {endpoint}}) => {
-		news.removeEndpoint(formatIncarnation(endpoint));
+		loadSync.removeEndpoint(formatIncarnation(endpoint));
 	});
 	network.events.on('lost', ({data: {node}}) => {
-		news.removeLink(node);
+		loadSync.removeLink(node);
 		links.markLost(node);
 		logger.info({name: 'peer-state', peer: node, reachable: false});
 	});
 	network.events.on('found', ({data: {node}}) => {
 		logger.info({name: 'peer-state', peer: node, reachable: true});
-		news.sendFull(node);
+		loadSync.sendFull(node);
 		usage?.sendFull(node);
-		beliefs.sendHeartbeat();
+		clusterSync.sendHeartbeat();
 	});
 
 	return {
 		sync: {
 			start() {
 				void runRepeatedly(() => heartbeatMs, () => {
-					// Planned by a part of a fleet that is starting, hundreds of links would go to the few that are known.
+					// Before all nodes are known, a plan would open hundreds of links to a few nodes.
 					if (follower.hasSettled()) {
 						links.update();
 					}
 
-					beliefs.sendHeartbeat();
+					clusterSync.sendHeartbeat();
 					usage?.send();
 				});
-				void runRepeatedly(measureNewsPause, sendNews);
+				void runRepeatedly(measureLoadUpdateInterval, sendLoadUpdates);
 			},
-			isCurrent: beliefs.isCurrent,
-			isStoreNeeded: beliefs.isStoreNeeded,
+			isCurrent: clusterSync.isCurrent,
+			isStoreNeeded: clusterSync.isStoreNeeded,
 			isFollower: links.isFollower,
 			usage,
-			sendPlacements: sendPlaced,
+			sendPlacements,
 			close() {
 				closing.abort();
-				clearTimeout(placedTimer);
+				clearTimeout(placementTimer);
 			},
 		},
 		handlers: {
-			'load.news': withSign(news.applyLoadUpdate),
-			'usage.rows': withSign((parameters, node) => usage?.apply(parameters, node)),
-			'cluster.heartbeat': withSign(beliefs.applyHeartbeat),
-			'cluster.changes': withSign(beliefs.applyChanges),
-			'cluster.state': withSign(beliefs.exportState),
+			'load.news': withLastSeen(loadSync.applyLoadUpdate),
+			'usage.rows': withLastSeen((parameters, node) => usage?.apply(parameters, node)),
+			'cluster.heartbeat': withLastSeen(clusterSync.applyHeartbeat),
+			'cluster.changes': withLastSeen(clusterSync.applyChanges),
+			'cluster.state': withLastSeen(clusterSync.exportState),
 		},
 	};
 }
--- a/node/gateway/src/create-ready-server.ts
+++ b/node/gateway/src/create-ready-server.ts
@@ -13,7 +13,7 @@
 };
 
 /**
- Creates the server for the balancer's health checks; `/metrics` gives the node's own figures as text.
+ Creates the HTTP server for the load balancer's health checks; `/metrics` returns the node's metrics as text.
 
  @example
  const ready = createReadyServer({host: '10.0.0.4', port: 8220, isReady: () => true, readMetrics: () => ''});
--- a/node/gateway/src/create-state-fetcher.ts
+++ b/node/gateway/src/create-state-fetcher.ts
@@ -12,7 +12,7 @@
 	readonly network: Pick<PeerNetwork, 'call'>;
 	readonly view: ClusterView;
 	/**
-	Time that a peer has to answer before another may be asked, in milliseconds.
+	Time without an answer after which another peer may be called, and first delay between two calls to a peer, in milliseconds.
 	*/
 	readonly answerTimeoutMs: number;
 	readonly logger: Logger;
@@ -20,51 +20,51 @@
 };
 
 /**
-Time after which a peer that has not answered is asked again, in milliseconds; far more than the largest state takes on a slow link.
+Time after which a peer that has not answered is called again, in milliseconds; far longer than the largest state takes on a slow link.
 */
-const longestAnswerMs = 10_000;
+const maximumAnswerMs = 10_000;
 /**
-Longest pause between two questions to a peer whose states do not help, in milliseconds.
+Longest delay between two calls to a peer whose state changes nothing, in milliseconds.
 */
-const longestPauseMs = 60_000;
+const maximumDelayMs = 60_000;
 
 /**
- Creates the taker of peers' states. It asks one peer at a time; one that leaves the question open keeps no other from being
- asked, and what it says later is still taken in.
+ Creates the fetcher of the cluster state. It calls one peer at a time; after the answer timeout another peer can be called, and a
+ late answer is still applied.
 
  @example
- const states = createStateTaker({network, view, patienceMs: 750, logger, metrics});
- states.ask('n2', 'newer');
+ const stateFetcher = createStateFetcher({network, view, answerTimeoutMs: 750, logger, metrics});
+ stateFetcher.startRead('n2', 'newer');
  */
-export function createStateFetcher({network, view, answerTimeoutMs: patienceMs, logger, metrics}: StateFetcherOptions): StateFetcher {
+export function createStateFetcher({network, view, answerTimeoutMs, logger, metrics}: StateFetcherOptions): StateFetcher {
 	/**
-	Number of the question that is open; an answer to an earlier one ends no later one.
+	Number of the last request; an answer to an earlier one doesn't end it.
 	*/
-	let question = 0;
-	let isAsking = false;
+	let lastRequest = 0;
+	let isWaiting = false;
 	/**
-	When a peer may be asked again, on the steady clock in milliseconds. A second question would only put another whole state
-	behind the first; one whose state did not help is asked less and less often.
+	When each peer may be called again, on the monotonic clock in milliseconds. A second request would only queue another whole
+	state behind the first; the delay doubles while a peer's state changes nothing.
 	*/
-	const again = new Map<string, {readonly at: number; readonly pauseMs: number}>();
+	const backoffs = new Map<string, {readonly at: number; readonly delayMs: number}>();
 
-	function isOpen(asked: number): boolean {
-		return isAsking && asked === question;
+	function isOpen(requestNumber: number): boolean {
+		return isWaiting && requestNumber === lastRequest;
 	}
 
-	async function takeState(node: string, asked: number, toAsk: StateRequest): Promise<void> {
+	async function readState(node: string, requestNumber: number, request: StateRequest): Promise<void> {
 		const startedAt = performance.now();
 		const before = `${view.revision()} ${view.digest()}`;
-		const pauseMs = again.get(node)?.pauseMs ?? patienceMs;
-		again.set(node, {at: startedAt + longestAnswerMs, pauseMs});
-		const answered = await network.call(node, 'cluster.state', toAsk);
-		isAsking &&= !isOpen(asked);
-		again.set(node, {at: performance.now() + pauseMs, pauseMs: Math.min(longestPauseMs, pauseMs * 2)});
-		answered.match(state => {
+		const delayMs = backoffs.get(node)?.delayMs ?? answerTimeoutMs;
+		backoffs.set(node, {at: startedAt + maximumAnswerMs, delayMs});
+		const answer = await network.call(node, 'cluster.state', request);
+		isWaiting &&= !isOpen(requestNumber);
+		backoffs.set(node, {at: performance.now() + delayMs, delayMs: Math.min(maximumDelayMs, delayMs * 2)});
+		answer.match(state => {
 			const parsed = clusterStateSchema.safeParse(state);
 			if (!parsed.success) {
 				logger.warn({
-					name: 'peer-state', peer: node, reachable: true, reason: `its state cannot be read: ${parsed.error.message}`,
+					name: 'peer-state', peer: node, reachable: true, reason: `invalid cluster state: ${parsed.error.message}`,
 				});
 				return;
 			}
@@ -76,7 +76,7 @@
 			});
 			view.importState(parsed.data);
 			if (`${view.revision()} ${view.digest()}` !== before) {
-				again.delete(node);
+				backoffs.delete(node);
 			}
 		}, error => {
 			logger.info({
@@ -85,26 +85,26 @@
 		});
 	}
 
-	async function endLate(node: string, asked: number): Promise<void> {
-		await wait(patienceMs, undefined, {ref: false});
-		if (!isOpen(asked)) {
+	async function expireRequest(node: string, requestNumber: number): Promise<void> {
+		await wait(answerTimeoutMs, undefined, {ref: false});
+		if (!isOpen(requestNumber)) {
 			return;
 		}
 
-		isAsking = false;
+		isWaiting = false;
 		logger.info({
-			name: 'peer-state', peer: node, reachable: false, reason: `its state has not come within ${patienceMs} ms`,
+			name: 'peer-state', peer: node, reachable: false, reason: `no cluster state received within ${answerTimeoutMs} ms`,
 		});
 	}
 
 	return {
-		canRead: node => !isAsking && performance.now() >= (again.get(node)?.at ?? 0),
+		canRead: node => !isWaiting && performance.now() >= (backoffs.get(node)?.at ?? 0),
 		startRead(node, what) {
-			question++;
-			isAsking = true;
-			const asked = question;
-			void endLate(node, asked);
-			void takeState(node, asked, what === 'newer' ? {since: view.revision()} : {});
+			lastRequest++;
+			isWaiting = true;
+			const requestNumber = lastRequest;
+			void expireRequest(node, requestNumber);
+			void readState(node, requestNumber, what === 'newer' ? {since: view.revision()} : {});
 		},
 	};
 }
--- a/node/gateway/src/create-usage-sync.ts
+++ b/node/gateway/src/create-usage-sync.ts
@@ -13,42 +13,42 @@
 	readonly links: Pick<LinkPlan, 'isRelay' | 'parent' | 'listFollowers'>;
 	readonly windowMs: number;
 	/**
-	The time of day that belongs to a time on the steady clock, in Unix milliseconds.
+	Converts a time on the monotonic clock to Unix milliseconds.
 	*/
 	readonly toUnixTime: (at: number) => number;
 };
 
 /**
-Windows that are kept: two minutes of usual ones, so that what an outage held back is reported after it.
+Number of windows kept: two minutes at the default length, so that usage is still reported after an outage.
 */
-const windowsKept = 24;
+const keptWindows = 24;
 
 /**
- Creates the exchange of counts of usage: each node tells its relay, relays tell all that may hold the duty. Rows are sums that
- only rise, so it does no harm when they come twice or by two ways.
+ Creates the exchange of usage counts: each node sends its rows to its relay, relays forward them to all candidates for the duties.
+ Rows are counters that only grow, so it is safe to receive one twice.
 
  @example
  const usage = createUsageSync({node: 'n1', network, links, windowMs: 5000, toUnixTime});
  usage.count('sawmill', performance.now());
  */
 export function createUsageSync({node: self, network, links, windowMs, toUnixTime}: UsageSyncOptions): UsageSync {
-	const book = createUsageBook(self);
+	const counters = createUsageBook(self);
 	/**
-	Rows to be sent, each in its last state.
+	Rows to send, each with its latest count.
 	*/
-	const fresh = new Map<string, UsageRow>();
+	const pendingRows = new Map<string, UsageRow>();
 	/**
-	Nodes that have been told all up to the last rows.
+	Nodes that have received all rows up to the last ones.
 	*/
-	let told: ReadonlySet<string> = new Set();
+	let sentNodes: ReadonlySet<string> = new Set();
 
 	function toWindow(at: number): number {
 		return Math.floor(toUnixTime(at) / windowMs);
 	}
 
-	function addFresh(rows: readonly UsageRow[]): void {
+	function addPendingRows(rows: readonly UsageRow[]): void {
 		for (const row of rows) {
-			fresh.set(row.slice(0, -1).join(' '), row);
+			pendingRows.set(row.slice(0, -1).join(' '), row);
 		}
 	}
 
@@ -64,32 +64,32 @@
 	}
 
 	return {
-		counters: book,
+		counters,
 		count(account, at) {
-			addFresh([book.count(toWindow(at), account)]);
+			addPendingRows([counters.count(toWindow(at), account)]);
 		},
 		send() {
-			book.removeBefore(toWindow(performance.now()) - windowsKept);
-			const rows = fresh.values().toArray();
-			fresh.clear();
+			counters.removeBefore(toWindow(performance.now()) - keptWindows);
+			const rows = pendingRows.values().toArray();
+			pendingRows.clear();
 			const targets = listTargets();
 			for (const node of targets) {
-				// One that has become a candidate since was told nothing before.
-				sendRows(node, told.has(node) ? rows : book.list());
+				// A new candidate has received nothing before.
+				sendRows(node, sentNodes.has(node) ? rows : counters.list());
 			}
 
-			told = new Set(targets);
+			sentNodes = new Set(targets);
 		},
 		sendFull(node) {
 			if (listTargets().includes(node)) {
-				sendRows(node, book.list());
+				sendRows(node, counters.list());
 			}
 		},
 		apply(parameters, node) {
-			const rows = book.merge(usageSchema.parse(parameters).rows);
-			// What a relay tells it has told all that may hold the duty.
+			const rows = counters.merge(usageSchema.parse(parameters).rows);
+			// A relay sends its rows to all candidates itself.
 			if (!links.isRelay(node)) {
-				addFresh(rows);
+				addPendingRows(rows);
 			}
 		},
 	};
--- a/node/gateway/src/create-version-watch.ts
+++ b/node/gateway/src/create-version-watch.ts
@@ -9,7 +9,7 @@
 };
 
 /**
- Creates the watch over versions, with gauges of the version in force, the highest heard of and the time behind it.
+ Creates the version watch, with gauges of the version in use, the highest version seen and the time for which this node has been behind.
 
  @example
  const versions = createVersionWatch({view, metrics});
@@ -17,7 +17,7 @@
  versions.measureBehind(); // 0 until some time has passed
  */
 export function createVersionWatch({view, metrics}: VersionWatchOptions): VersionWatch {
-	let heard = noVersion;
+	let highestSeen = noVersion;
 	let aheadSince: number | undefined;
 
 	function get(): number {
@@ -25,7 +25,7 @@
 	}
 
 	function isBehind(): boolean {
-		return heard > get();
+		return highestSeen > get();
 	}
 
 	function measureBehind(): number {
@@ -37,10 +37,10 @@
 		isBehind,
 		measureBehind,
 		record(version) {
-			heard = Math.max(heard, version);
+			highestSeen = Math.max(highestSeen, version);
 			aheadSince = isBehind() ? aheadSince ?? performance.now() : undefined;
 			metrics.gauge('gateway.configuration-version', get());
-			metrics.gauge('gateway.configuration-heard', heard);
+			metrics.gauge('gateway.configuration-heard', highestSeen);
 			metrics.gauge('gateway.configuration-behind-ms', Math.round(measureBehind()));
 		},
 	};
--- a/node/gateway/src/default-limits.ts
+++ b/node/gateway/src/default-limits.ts
@@ -1,7 +1,7 @@
 import type {CallerLimits} from '@valvesaddle/gateway-types';
 
 /**
-Limits for callers until a configuration is known.
+Limits for callers until a configuration is available.
 */
 export const defaultLimits: CallerLimits = {
 	headerBytes: 16_384, bodyBytes: 4_194_304, headerTimeoutMs: 3000, idleTimeoutMs: 15_000,
--- a/node/gateway/src/delay-meter.ts
+++ b/node/gateway/src/delay-meter.ts
@@ -1,18 +1,18 @@
 /**
-Tells how long messages of peers were under way.
+Measures the delay of messages from peers.
 */
 export type DelayMeter = {
 	/**
-	Takes in a message's time of sending, on its sender's steady clock; returns how much longer than the quickest one on that
-	link it was under way, in milliseconds.
+	Records a message by its sending time on its sender's monotonic clock; returns its delay above the quickest message on that
+	link, in milliseconds.
 	*/
 	readonly measure: (node: string, sentAt: number) => number;
 	/**
-	What the last message of a node spent waiting, in milliseconds; what it sends besides comes in the same stream.
+	Delay of a node's last measured message, in milliseconds; its other messages arrive on the same connection.
 	*/
 	readonly get: (node: string) => number;
 	/**
-	Forgets a link that is lost: the next one may go another way, and the clock of the machine may have stood still.
+	Removes a lost link: the next one may take another route, and the clock of a suspended VM may have stopped.
 	*/
 	readonly remove: (node: string) => void;
 };
--- a/node/gateway/src/duty-task-options.ts
+++ b/node/gateway/src/duty-task-options.ts
@@ -10,20 +10,20 @@
 */
 export type DutyTaskOptions = {
 	/**
-	Name of the node for the platform, and of its process, which is new at each start.
+	Name of the node for the platform, and id of its process, which changes at each start.
 	*/
 	readonly name: string;
 	readonly process: string;
 	readonly settings: NonNullable<GatewaySettings['duties']>;
 	/**
-	Address of the store, and the time for an answer in milliseconds.
+	Address of the store, and the timeout of a call in milliseconds.
 	*/
 	readonly store: {readonly address: string; readonly timeoutMs: number};
 	readonly view: ClusterView;
 	readonly selector: Pick<Selector, 'measureWork'>;
 	readonly sync: Pick<PeerSync, 'isFollower' | 'usage'>;
 	/**
-	The time of day that belongs to a time on the steady clock, in Unix milliseconds.
+	Converts a time on the monotonic clock to Unix milliseconds.
 	*/
 	readonly toUnixTime: (at: number) => number;
 	readonly logger: Logger;
--- a/node/gateway/src/duty-task.ts
+++ b/node/gateway/src/duty-task.ts
@@ -1,10 +1,10 @@
 /**
-A node's part in the duties that one node at a time fulfils.
+A node's part in the singleton duties.
 */
 export type DutyTask = {
 	readonly start: () => void;
 	/**
-	Hands over what this node holds.
+	Releases the lease, so that another node can take over.
 	*/
 	readonly close: () => Promise<void>;
 };
--- a/node/gateway/src/format-load-update.ts
+++ b/node/gateway/src/format-load-update.ts
@@ -2,28 +2,28 @@
 import type {LoadUpdateMessage} from './load-update-message.ts';
 
 /**
-Part of a unit to which sensitivities are told; they are sums of parts of requests.
+Steps per unit to which sensitivities are rounded; they are sums of fractions.
 */
-const fractionOfUnit = 100;
+const stepsPerUnit = 100;
 
 /**
- Writes news of work as rows without names, whole numbers of tokens and milliseconds.
+ Formats a load update as rows without field names, in whole tokens and milliseconds.
 
  @example
- formatNews({origin: 'n1', nodes: 1, loads: [['i-7f', {...noLoad, open: 2}]], placements: []}).loads; // [['i-7f', 2, [], 0, 0, 0, 0, 0]]
+ formatLoadUpdate({origin: 'n1', nodes: 1, loads: [['i-7f', {...noLoad, open: 2}]], placements: []}).loads; // [['i-7f', 2, [], 0, 0, 0, 0, 0]]
  */
 export function formatLoadUpdate({nodes, loads, placements}: OriginNews): LoadUpdateMessage {
 	return {
 		nodes,
-		loads: loads.map(([endpoint, {open, unread, sensitivity, witnesses, silent, readTokens, readMs}]) => [
+		loads: loads.map(([endpoint, {open, unread: pendingPrefill, sensitivity, witnesses: observers, silent: stalledObservers, readTokens: prefilledTokens, readMs: prefillMs}]) => [
 			endpoint,
 			open,
-			unread.map(tokens => Math.round(tokens)),
-			Math.round(sensitivity * fractionOfUnit) / fractionOfUnit,
-			witnesses,
-			silent,
-			Math.round(readTokens),
-			Math.round(readMs),
+			pendingPrefill.map(tokens => Math.round(tokens)),
+			Math.round(sensitivity * stepsPerUnit) / stepsPerUnit,
+			observers,
+			stalledObservers,
+			Math.round(prefilledTokens),
+			Math.round(prefillMs),
 		]),
 		placements: placements.map(({endpoint, pool, parts, tokens}) => [endpoint, pool, [...parts], tokens]),
 	};
--- a/node/gateway/src/gateway-addresses.ts
+++ b/node/gateway/src/gateway-addresses.ts
@@ -1,5 +1,5 @@
 /**
-Where a gateway node listens.
+Addresses on which a gateway node listens.
 */
 export type GatewayAddresses = {
 	readonly callers: string;
--- a/node/gateway/src/gateway.ts
+++ b/node/gateway/src/gateway.ts
@@ -6,19 +6,19 @@
 */
 export type Gateway = {
 	/**
-	Listens and begins to follow the store.
+	Opens the listeners and starts to follow the store.
 	*/
 	readonly start: () => Promise<GatewayAddresses>;
 	/**
-	Leaves gracefully: open requests run to their end.
+	Stops the node after open requests have finished or the grace period is over.
 	*/
 	readonly drain: () => Promise<void>;
 	/**
-	Notes settings that were read anew. Those that can change while the node runs are in force at once.
+	Logs that changed settings were read.
 	*/
 	readonly reload: (settings: GatewaySettings) => void;
 	/**
-	Notes settings that could not be taken over; the last good ones stay.
+	Logs why changed settings were rejected; the last valid ones stay in use.
 	*/
 	readonly rejectReload: (error: unknown) => void;
 	readonly close: () => Promise<void>;
--- a/node/gateway/src/link-plan.ts
+++ b/node/gateway/src/link-plan.ts
@@ -1,30 +1,30 @@
 /**
-A node's links to others: all to all in a small fleet, by way of relays in a larger one.
+A node's links to its peers: to all of them in a small fleet, through relays in a larger one.
 */
 export type LinkPlan = {
 	/**
-	Opens and breaks links as the plan and the last signs of life ask for.
+	Opens and closes links by the plan and the last messages received.
 	*/
 	readonly update: () => void;
 	/**
-	Notes a sign of life that was sent at that time, on this node's steady clock in milliseconds.
+	Records a message that was sent at that time, on this node's monotonic clock in milliseconds.
 	*/
 	readonly markSeen: (node: string, at: number) => void;
 	/**
-	Notes that a link broke; a node whose relay it was moves to another one at once.
+	Records that a link was lost; if it was the link to the parent, the node chooses another parent at once.
 	*/
 	readonly markLost: (node: string) => void;
 	readonly isRelay: (node: string) => boolean;
 	/**
-	Whether this node follows the store for others.
+	Whether this node watches the store for others.
 	*/
 	readonly isFollower: () => boolean;
 	/**
-	Whether this node hears of changes from that one: its relay, or for a relay the first follower that it is linked to.
+	Whether this node receives changes from that one: its parent, or for a relay the first follower that it is linked to.
 	*/
 	readonly isSource: (node: string) => boolean;
 	/**
-	Whether every node is linked with every other.
+	Whether every node is linked to every other.
 	*/
 	readonly isMesh: () => boolean;
 	/**
@@ -36,11 +36,11 @@
 	*/
 	readonly listRelays: () => readonly string[];
 	/**
-	Linked nodes that follow the store for others.
+	Linked nodes that watch the store for others.
 	*/
 	readonly listFollowers: () => readonly string[];
 	/**
-	Linked nodes that are no relays themselves.
+	Linked nodes that aren't relays.
 	*/
 	readonly listMembers: () => readonly string[];
 };
--- a/node/gateway/src/load-sync.ts
+++ b/node/gateway/src/load-sync.ts
@@ -1,25 +1,25 @@
 /**
-Exchange of news of work with peers.
+Exchange of load updates with peers.
 */
 export type LoadSync = {
 	/**
-	Tells what is new since the last call to linked relays, and to members when it is their turn; `false` when that is nothing.
+	Sends what changed since the last call to linked relays, and in a member interval to members; `false` if nothing was sent.
 	*/
 	readonly send: (isMemberInterval: boolean) => boolean;
 	/**
-	Tells a node all that it has to know, as it has just been linked.
+	Sends the full load to a node that has just been linked.
 	*/
 	readonly sendFull: (node: string) => void;
 	/**
-	Takes in a peer's message; throws `ERR_VALVESADDLE_MESSAGE_INVALID` for one of a wrong form.
+	Applies a peer's message; throws `ERR_VALVESADDLE_MESSAGE_INVALID` if it is malformed.
 	*/
 	readonly applyLoadUpdate: (parameters: unknown, node: string) => void;
 	/**
-	Forgets an incarnation of an endpoint that is gone.
+	Removes an incarnation of an endpoint that has been removed or replaced.
 	*/
 	readonly removeEndpoint: (endpoint: string) => void;
 	/**
-	Forgets all that was heard over a link that is lost.
+	Removes all load that was received over a lost link.
 	*/
 	readonly removeLink: (node: string) => void;
 };
--- a/node/gateway/src/load-update-message.ts
+++ b/node/gateway/src/load-update-message.ts
@@ -1,11 +1,14 @@
 /**
-Work at an endpoint without names, in the order of the fields of `EndpointLoad`.
+Load of an endpoint without field names, in the order of the fields of `EndpointLoad`.
 */
-type LoadRow = readonly [endpoint: string, open: number, unread: readonly number[], sensitivity: number, witnesses: number, silent: number, readTokens: number, readMs: number];
+type LoadRow = readonly [
+	endpoint: string, open: number, pendingPrefill: readonly number[], sensitivity: number, observers: number, stalledObservers: number,
+	prefilledTokens: number, prefillMs: number,
+];
 type PlacementRow = readonly [endpoint: string, pool: string, parts: readonly string[], tokens: number];
 
 /**
-News of work as nodes send them to each other.
+Load update as nodes send it to each other.
 */
 export type LoadUpdateMessage = {
 	readonly nodes: number;
--- a/node/gateway/src/no-version.ts
+++ b/node/gateway/src/no-version.ts
@@ -1,4 +1,4 @@
 /**
-Stands for the version of a configuration that is not known.
+Version while there is no configuration.
 */
 export const noVersion = -1;
--- a/node/gateway/src/peer-sync-options.ts
+++ b/node/gateway/src/peer-sync-options.ts
@@ -15,7 +15,7 @@
 	readonly follower: Pick<StoreFollower, 'isSteady' | 'hasSettled'>;
 	readonly selector: Selector;
 	/**
-	Between two messages on the node's work.
+	Interval between two load updates.
 	*/
 	readonly loadUpdateMs: number;
 	/**
@@ -23,20 +23,19 @@
 	*/
 	readonly hasOpenRequests: () => boolean;
 	/**
-	Set when usage is counted: the length of its windows, and the time of day that belongs to a time on the steady clock, in Unix
-	milliseconds.
+	Set when usage is counted: the length of its windows, and the conversion of a time on the monotonic clock to Unix milliseconds.
 	*/
 	readonly usage?: {readonly windowMs: number; readonly toUnixTime: (at: number) => number};
 	/**
-	Between two messages on the revision that the node knows.
+	Interval between two heartbeats.
 	*/
 	readonly heartbeatMs: number;
 	/**
-	Largest fleet in which every node is linked with every other.
+	Largest fleet in which every node is linked to every other.
 	*/
 	readonly meshNodes: number;
 	/**
-	Time after which a relay that could not be reached is tried again.
+	Time after which an unreachable relay is tried again.
 	*/
 	readonly suspectMs: number;
 	readonly logger: Logger;
--- a/node/gateway/src/peer-sync.ts
+++ b/node/gateway/src/peer-sync.ts
@@ -1,12 +1,12 @@
 import type {UsageSync} from './usage-sync.ts';
 
 /**
-Tells peers of the node's work and beliefs, and learns of theirs.
+Exchange of load and cluster state with peers.
 */
 export type PeerSync = {
 	readonly start: () => void;
 	/**
-	Whether the configuration in force is the newest as far as can be told.
+	Whether the configuration in use is the newest as far as this node can tell.
 	*/
 	readonly isCurrent: () => boolean;
 	/**
@@ -14,15 +14,15 @@
 	*/
 	readonly isStoreNeeded: () => boolean;
 	/**
-	Whether this node is one of those that watch the store for all.
+	Whether this node watches the store for others.
 	*/
 	readonly isFollower: () => boolean;
 	/**
-	Counts of usage, where they are asked for.
+	Usage counts; `undefined` if they aren't configured.
 	*/
 	readonly usage: UsageSync | undefined;
 	/**
-	A request was placed: in a large fleet the node's relay is told soon.
+	Schedules sending a new placement to the parent ahead of the load update interval, in a large fleet.
 	*/
 	readonly sendPlacements: () => void;
 	readonly close: () => void;
--- a/node/gateway/src/ready-server.ts
+++ b/node/gateway/src/ready-server.ts
@@ -1,5 +1,5 @@
 /**
-Tells the balancer whether the node takes callers.
+HTTP server for the load balancer's health checks.
 */
 export type ReadyServer = {
 	readonly listen: () => Promise<string>;
--- a/node/gateway/src/state-fetcher.ts
+++ b/node/gateway/src/state-fetcher.ts
@@ -1,13 +1,13 @@
 /**
-Takes over what a peer believes.
+Reads the cluster state from peers.
 */
 export type StateFetcher = {
 	/**
-	Whether a peer may be asked: no other one that was asked still has time to answer, and it has answered itself.
+	Whether a peer may be called: no call is within its answer timeout, and the delay since the last call to this peer is over.
 	*/
 	readonly canRead: (node: string) => boolean;
 	/**
-	Asks for all that is newer than what is known here, or for all: a peer may believe something else of what both know.
+	Requests the entries newer than this node's revision, or all: a peer may have a different state at the same revision.
 	*/
 	readonly startRead: (node: string, what: 'newer' | 'all') => void;
 };
--- a/node/gateway/src/state-request-schema.ts
+++ b/node/gateway/src/state-request-schema.ts
@@ -1,6 +1,6 @@
 import * as z from 'zod';
 
 /**
-Form of a question for a peer's state: all of it, or what is newer than a revision.
+Schema of a request for a peer's cluster state: all of it, or the entries newer than a revision.
 */
 export const stateRequestSchema = z.object({since: z.int().optional()});
--- a/node/gateway/src/state-request.ts
+++ b/node/gateway/src/state-request.ts
@@ -2,6 +2,6 @@
 import type {stateRequestSchema} from './state-request-schema.ts';
 
 /**
-A question for a peer's state.
+A request for a peer's cluster state.
 */
 export type StateRequest = z.infer<typeof stateRequestSchema>;
--- a/node/gateway/src/usage-schema.ts
+++ b/node/gateway/src/usage-schema.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
 
 /**
-Form of the counts of usage that nodes send each other: origin, window, client account and count.
+Schema of the usage counts that nodes send each other: origin, window, client account and count.
 */
 export const usageSchema = z.object({
 	rows: z.array(z.tuple([z.string(), z.int(), z.string(), z.int().min(0)])),
--- a/node/gateway/src/usage-sync.ts
+++ b/node/gateway/src/usage-sync.ts
@@ -1,27 +1,27 @@
 import type {UsageBook} from '@valvesaddle/duty-usage';
 
 /**
-Exchange of counts of usage with peers.
+Exchange of usage counts with peers.
 */
 export type UsageSync = {
 	/**
-	Counts a request of this node that began to run; the time is in milliseconds on the steady clock.
+	Counts a request of this node that began to run; the time is in milliseconds on the monotonic clock.
 	*/
 	readonly count: (account: string, at: number) => void;
 	/**
-	Sends what is new since the last call.
+	Sends what changed since the last call.
 	*/
 	readonly send: () => void;
 	/**
-	Sends all to a node that has just been linked.
+	Sends all rows to a node that has just been linked.
 	*/
 	readonly sendFull: (node: string) => void;
 	/**
-	All that is known.
+	Counters of this node and its peers.
 	*/
 	readonly counters: UsageBook;
 	/**
-	Takes in a peer's message; throws `ZodError` for one of a wrong form.
+	Applies a peer's message; throws `ZodError` if it is malformed.
 	*/
 	readonly apply: (parameters: unknown, node: string) => void;
 };
--- a/node/gateway/src/version-watch.ts
+++ b/node/gateway/src/version-watch.ts
@@ -1,5 +1,5 @@
 /**
-Compares the version of the node's configuration with those that it hears of.
+Compares the version of the node's configuration with those of its peers.
 */
 export type VersionWatch = {
 	/**
@@ -7,15 +7,15 @@
 	*/
 	readonly get: () => number;
 	/**
-	Takes in the version that a peer has.
+	Records the version of a peer.
 	*/
 	readonly record: (version: number) => void;
 	/**
-	Whether a newer version than its own is known of.
+	Whether a peer has a newer version.
 	*/
 	readonly isBehind: () => boolean;
 	/**
-	How long a newer version than its own has been known of, in milliseconds; 0 when there is none.
+	Time since a newer version was first recorded, in milliseconds; 0 when there is none.
 	*/
 	readonly measureBehind: () => number;
 };
