--- a/node/gateway/test/cluster-sync.test.ts
+++ b/node/gateway/test/cluster-sync.test.ts
@@ -10,7 +10,7 @@
 import {createSelector} from '@valvesaddle/selection';
 import {createPeerSync} from '../src/create-peer-sync.ts';
 
-const centres = ['a', 'b', 'c', 'd'] as const;
+const dataCentres = ['a', 'b', 'c', 'd'] as const;
 
 function toNode(id: string, dataCentre = 'a'): GatewayNode {
 	return {
@@ -19,10 +19,10 @@
 }
 
 /**
-Fleet of 40 nodes with `n1`, in which eight strong ones are relays and four of these followers of the store.
+Fleet of 40 nodes with `n1`, in which the eight nodes of higher capacity are relays, and four of these are followers of the store.
 */
 function createFleet(): readonly GatewayNode[] {
-	return Array.from({length: 40}, (_, index) => ({...toNode(index < 8 ? `r${index}` : `n${index - 7}`, centres[index % centres.length]), capacity: index < 8 ? 2 : 1}));
+	return Array.from({length: 40}, (_, index) => ({...toNode(index < 8 ? `r${index}` : `n${index - 7}`, dataCentres[index % dataCentres.length]), capacity: index < 8 ? 2 : 1}));
 }
 
 function toEndpoint(id: string): ServingEndpoint {
@@ -32,9 +32,11 @@
 }
 
 /**
-A node whose store does not answer, and whose peers answer with `state`, or not at all where there is none.
+A node whose store doesn't answer and whose peers answer with `state`, or not at all if it is missing.
 */
-function createSync(t: Test, {state, beatMs, id = 'n1', isSteady = () => false}: {readonly state?: ClusterState; readonly beatMs: number; readonly id?: string; readonly isSteady?: () => boolean}) {
+function createSync(t: Test, {state, heartbeatMs, id = 'n1', isSteady = () => false}: {
+	readonly state?: ClusterState; readonly heartbeatMs: number; readonly id?: string; readonly isSteady?: () => boolean;
+}) {
 	const logger = createLogger({node: id, level: 'silent'});
 	const metrics = createMetrics();
 	const view = createClusterView({logger, metrics});
@@ -42,7 +44,7 @@
 	const links = new Set<string>();
 	const calls: string[] = [];
 	const broadcasts: Array<readonly [method: string, parameters: unknown, nodes: readonly string[] | undefined]> = [];
-	let breaks = 0;
+	let disconnects = 0;
 	const network: PeerNetwork = {
 		events,
 		listen: async () => '',
@@ -63,7 +65,7 @@
 				return;
 			}
 
-			breaks++;
+			disconnects++;
 			void events.emit('lost', {node});
 		},
 		async close() {
@@ -82,7 +84,7 @@
 		selector,
 		loadUpdateMs: 10_000,
 		hasOpenRequests: () => true,
-		heartbeatMs: beatMs,
+		heartbeatMs,
 		meshNodes: 16,
 		suspectMs: 1,
 		logger,
@@ -94,18 +96,18 @@
 	});
 	view.applyChanges({revision: 3, changes: fleet.map(node => ({kind: 'node' as const, revision: 3, node}))}, 'peer');
 	return {
-		view, links, calls, broadcasts, sync, handlers, countBreaks: () => breaks,
+		view, links, calls, broadcasts, sync, handlers, countDisconnects: () => disconnects,
 	};
 }
 
-test('an endpoint that a node has heard of is not given up since its source has missed it on the way to the same revision', async t => {
+test('an endpoint is kept when the state of the source at the same revision lacks it', async t => {
 	const source = createClusterView({logger: createLogger({node: 's', level: 'silent'}), metrics: createMetrics()});
 	t.teardown(source.close);
 	const nodes = createFleet().map(node => ({kind: 'node' as const, revision: 3, node}));
 	source.applyChanges({revision: 3, changes: nodes}, 'store');
-	// The watch of the source heard nothing, and came back empty with the newest revision.
+	// The watch of the source returned no change, but the newest revision.
 	source.applyChanges({revision: 9, changes: []}, 'store');
-	const {view, links, calls, sync, handlers} = createSync(t, {state: source.exportState(true), beatMs: 1000});
+	const {view, links, calls, sync, handlers} = createSync(t, {state: source.exportState(true), heartbeatMs: 1000});
 	sync.start();
 	await waitUntil(() => links.size === 1);
 	const [relay = ''] = links;
@@ -119,26 +121,26 @@
 	});
 	t.same(calls, [relay]);
 	t.same(view.endpoints().map(({id}) => id), ['i-1'], 'it is in the store');
-	// The source has learned of it by a list since.
+	// The source now gets the endpoint from a list.
 	source.applyAll({revision: 10, changes: [...nodes, {kind: 'endpoint', revision: 8, endpoint: toEndpoint('i-1')}]}, 'store');
 	handlers['cluster.changes']?.({after: 9, changes: {revision: 10, changes: [{kind: 'endpoint', revision: 8, endpoint: toEndpoint('i-1')}]}}, relay);
-	t.same(view.endpoints().map(({id}) => id), ['i-1'], 'nor is it gone for good');
+	t.same(view.endpoints().map(({id}) => id), ['i-1'], 'no tombstone excludes it');
 	t.equal(view.digest(), source.digest());
 });
 
-test('a difference that a whole state cannot mend is not asked about with each heartbeat', async t => {
+test('a difference that a full state does not resolve is not requested with every heartbeat', async t => {
 	const source = createClusterView({logger: createLogger({node: 's', level: 'silent'}), metrics: createMetrics()});
 	t.teardown(source.close);
 	source.applyChanges({revision: 3, changes: createFleet().map(node => ({kind: 'node' as const, revision: 3, node}))}, 'store');
 	source.applyChanges({revision: 9, changes: [{kind: 'endpoint', revision: 8, endpoint: toEndpoint('i-1')}]}, 'store');
-	const {view, links, calls, sync, handlers} = createSync(t, {state: source.exportState(true), beatMs: 1000});
+	const {view, links, calls, sync, handlers} = createSync(t, {state: source.exportState(true), heartbeatMs: 1000});
 	sync.start();
 	await waitUntil(() => links.size === 1);
 	const [relay = ''] = links;
-	// This node holds a later mark of its removal, as from a list in which its entry could not be read.
+	// This node has a later tombstone of the endpoint, as after a list in which the entry was unreadable.
 	view.applyChanges({revision: 9, changes: [{kind: 'endpoint-removed', id: 'i-1', revision: 9}]}, 'peer');
 	for (let revision = 10; revision < 30; revision++) {
-		// One other endpoint reports each 250 ms, to both.
+		// Both nodes receive a change of another endpoint every 250 ms.
 		const change = {kind: 'endpoint' as const, revision, endpoint: toEndpoint(`i-${revision}`)};
 		source.applyChanges({revision, changes: [change]}, 'store');
 		view.applyChanges({revision, changes: [change]}, 'peer');
@@ -151,7 +153,7 @@
 		});
 	}
 
-	t.ok(calls.length <= 5, `${calls.length} whole states for 20 heartbeats (5 s)`);
+	t.ok(calls.length <= 5, `${calls.length} full states for 20 heartbeats (5 s)`);
 });
 
 async function settle(): Promise<void> {
@@ -160,39 +162,39 @@
 	});
 }
 
-const kinds: ReadonlyArray<readonly [name: string, change: (state: ClusterState) => unknown]> = [
-	['may have lapsed entries', state => ({...state, isSteady: false})],
-	['runs the program before', ({removed: _removed, ...state}) => state],
+const peerKinds: ReadonlyArray<readonly [name: string, change: (state: ClusterState) => unknown]> = [
+	['has pending removals', state => ({...state, isSteady: false})],
+	['runs the previous version', ({removed: _removed, ...state}) => state],
 ];
 
-for (const [name, change] of kinds) {
-	test(`a peer that is ahead and ${name} is not asked for its whole state with each heartbeat`, async t => {
+for (const [name, change] of peerKinds) {
+	test(`the full state of a peer that is ahead and ${name} is not requested with every heartbeat`, async t => {
 		const source = createClusterView({logger: createLogger({node: 's', level: 'silent'}), metrics: createMetrics()});
 		t.teardown(source.close);
 		source.applyChanges({revision: 3, changes: createFleet().map(node => ({kind: 'node' as const, revision: 3, node}))}, 'store');
 		source.applyChanges({revision: 9, changes: [{kind: 'endpoint', revision: 8, endpoint: toEndpoint('i-1')}]}, 'store');
-		const {links, calls, sync, handlers} = createSync(t, {state: change(source.exportState(true)) as ClusterState, beatMs: 1000});
+		const {links, calls, sync, handlers} = createSync(t, {state: change(source.exportState(true)) as ClusterState, heartbeatMs: 1000});
 		sync.start();
 		await waitUntil(() => links.size === 1);
 		const [relay = ''] = links;
-		for (let beat = 0; beat < 8; beat++) {
+		for (let heartbeat = 0; heartbeat < 8; heartbeat++) {
 			handlers['cluster.heartbeat']?.({revision: 9, version: -1, confirmedAgoMs: 0}, relay);
 			// eslint-disable-next-line no-await-in-loop -- one after the other
 			await settle();
 		}
 
-		t.ok(calls.length <= 2, `${calls.length} whole states in 2 s`);
+		t.ok(calls.length <= 2, `${calls.length} full states in 2 s`);
 	});
 }
 
-test('a follower says to have passed on no more than it did', async t => {
+test('a follower announces no revision beyond the changes that it forwarded', async t => {
 	let isSteady = false;
-	const {view, links, broadcasts, sync, handlers} = createSync(t, {beatMs: 20, id: 'r0', isSteady: () => isSteady});
+	const {view, links, broadcasts, sync, handlers} = createSync(t, {heartbeatMs: 20, id: 'r0', isSteady: () => isSteady});
 	links.add('r1');
 	links.add('r2');
 	sync.start();
 	await waitUntil(() => broadcasts.some(([method]) => method === 'cluster.heartbeat'));
-	// After an outage it lists the store, then hears two changes from another follower; these go to its members only.
+	// After an outage it lists the store, then receives two changes from another follower and forwards these to its members only.
 	view.applyChanges({revision: 5, changes: [{kind: 'endpoint', revision: 5, endpoint: toEndpoint('i-5')}]}, 'store');
 	await settle();
 	handlers['cluster.changes']?.({after: 5, changes: {revision: 7, changes: [{kind: 'endpoint', revision: 6, endpoint: toEndpoint('i-6')}, {kind: 'endpoint', revision: 7, endpoint: toEndpoint('i-7')}]}}, 'r1');
@@ -211,10 +213,10 @@
 		peer.applyChanges(after > peer.revision() ? {...changes, revision: peer.revision()} : changes, 'peer');
 	}
 
-	t.ok(peer.revision() < 7 || peer.endpoints().length === 3, `r2 stands at revision ${peer.revision()} and knows ${peer.endpoints().length} of 3 endpoints`);
+	t.ok(peer.revision() < 7 || peer.endpoints().length === 3, `r2 is at revision ${peer.revision()} with ${peer.endpoints().length} of 3 endpoints`);
 });
 
-test('nodes that hear of changes from peers know that a newer configuration is there that cannot be read', async t => {
+test('nodes that receive changes from peers also detect an unreadable newer configuration', async t => {
 	const create = () => createClusterView({logger: createLogger({node: 's', level: 'silent'}), metrics: createMetrics()});
 	const follower = create();
 	const member = create();
@@ -231,10 +233,10 @@
 	await settle();
 	t.equal(member.revision(), 4);
 	t.ok(follower.hasUnreadConfiguration());
-	t.ok(member.hasUnreadConfiguration(), 'or it denies with 404 what the newer one allows');
+	t.ok(member.hasUnreadConfiguration(), 'otherwise it answers 404 where the newer one has a route');
 	const late = create();
 	t.teardown(late.close);
 	late.importState(follower.exportState(true));
-	t.ok(late.hasUnreadConfiguration(), 'so does one that takes a whole state');
+	t.ok(late.hasUnreadConfiguration(), 'also after a full state');
 	t.end();
 });
--- a/node/gateway/test/duties.test.ts
+++ b/node/gateway/test/duties.test.ts
@@ -19,7 +19,7 @@
 	'min-replicas': 1, 'max-replicas': 4, 'boot-timeout-s': 4, 'spot-price': 0.2, 'zone-prices': {a: 1},
 };
 
-test('a node that holds the duties reports each request once, and orders replicas within the limits', async t => {
+test('the holder of the duties reports each request once, and orders replicas within the limits', async t => {
 	const api = await startFakeDutyApi();
 	t.teardown(api.close);
 	const platform = await startPlatform(t, ['whole'], formatDuties(api.address));
@@ -35,11 +35,11 @@
 	t.equal(countReported(), 3);
 	await waitUntil(() => api.calls().some(({path}) => path === '/scale'));
 	const orders = api.calls().filter(({path}) => path === '/scale');
-	t.ok(orders.every(({body}) => body.service === 'register' && Number(body['desired-count']) <= 4), 'none for a service whose limits cannot be read');
+	t.ok(orders.every(({body}) => body.service === 'register' && Number(body['desired-count']) <= 4), 'none for a service with invalid limits');
 	t.ok(api.calls().every(({holder, token}) => holder === 'n1' && token > 0));
 });
 
-test('a node that leaves hands the duties over', async t => {
+test('a node that drains releases the duties', async t => {
 	const api = await startFakeDutyApi();
 	t.teardown(api.close);
 	const platform = await startPlatform(t, ['whole'], formatDuties(api.address));
@@ -49,7 +49,7 @@
 	t.notOk(platform.store.keys().includes('gateway/duties/holder'));
 });
 
-test('without the table no duty is taken', async t => {
+test('a node without a [duties] table acquires no duties', async t => {
 	const platform = await startPlatform(t);
 	await platform.open();
 	t.equal((await platform.call('/safe/x')).status, 200);
--- a/node/gateway/test/endpoint-notices.test.ts
+++ b/node/gateway/test/endpoint-notices.test.ts
@@ -7,9 +7,9 @@
 type Platform = Awaited<ReturnType<typeof startPlatform>>;
 
 /**
-A platform whose first endpoint behaves in another way than its second, which serves.
+Starts a platform whose first endpoint has the given behaviour, while the second one serves normally.
 */
-async function startUneven(t: Test, behaviour: keyof typeof behaviours): Promise<Platform> {
+async function startPlatformWith(t: Test, behaviour: keyof typeof behaviours): Promise<Platform> {
 	const platform = await startPlatform(t);
 	await platform.open();
 	platform.endpoints[0]?.setBehaviour(behaviours[behaviour]);
@@ -21,9 +21,9 @@
 }
 
 /**
-Calls until the first endpoint has been asked, and returns what it had got by then.
+Calls until the first endpoint has received a request; returns the number that it received.
 */
-async function callUntilNoticed(platform: Platform): Promise<number> {
+async function callUntilNotice(platform: Platform): Promise<number> {
 	for (let call = 0; call < calls && countArrivals(platform)[0] === 0; call++) {
 		// eslint-disable-next-line no-await-in-loop -- one after the other
 		await platform.call('/safe/x');
@@ -43,17 +43,17 @@
 	return statuses;
 }
 
-test('an endpoint that asked for a pause gets no requests until it is over', async t => {
-	const platform = await startUneven(t, 'overloaded');
-	const before = await callUntilNoticed(platform);
+test('an endpoint that sent Retry-After gets no requests during its cooldown', async t => {
+	const platform = await startPlatformWith(t, 'overloaded');
+	const before = await callUntilNotice(platform);
 	t.equal(before, 1);
 	t.same(await callOften(platform), Array.from({length: calls}, () => 200));
 	t.equal(countArrivals(platform)[0], before);
 });
 
-test('a pause that an endpoint asked for outlasts a new entry, a new configuration and a lost store', async t => {
-	const platform = await startUneven(t, 'overloaded');
-	const before = await callUntilNoticed(platform);
+test('a cooldown survives a new entry, a new configuration and the loss of the store', async t => {
+	const platform = await startPlatformWith(t, 'overloaded');
+	const before = await callUntilNotice(platform);
 	platform.store.registerEndpoint('i-0', {
 		pool: 'register', address: platform.endpoints[0]?.address ?? '', slots: 5, state: 'ready',
 	});
@@ -64,7 +64,7 @@
 	t.equal(countArrivals(platform)[0], before);
 });
 
-test('callers are refused at once, and told when to come back, while all endpoints have asked for a pause', async t => {
+test('callers are refused at once with Retry-After while all endpoints are in their cooldown', async t => {
 	const platform = await startPlatform(t, ['overloaded']);
 	await platform.open();
 	await platform.call('/safe/x');
@@ -81,17 +81,17 @@
 	t.same(countArrivals(platform), [1, 1]);
 });
 
-test('an endpoint that says in an answer that it leaves gets no further requests', async t => {
-	const platform = await startUneven(t, 'leaving');
-	const before = await callUntilNoticed(platform);
+test('an endpoint that signals in an answer that it is draining gets no further requests', async t => {
+	const platform = await startPlatformWith(t, 'leaving');
+	const before = await callUntilNotice(platform);
 	t.equal(before, 1);
 	t.same(await callOften(platform), Array.from({length: calls}, () => 200));
 	t.equal(countArrivals(platform)[0], before);
 });
 
-test('an endpoint that said that it leaves stays left out when its entry is written again or the store is lost', async t => {
-	const platform = await startUneven(t, 'leaving');
-	const before = await callUntilNoticed(platform);
+test('a draining endpoint gets no requests when its entry is written again or the store is lost', async t => {
+	const platform = await startPlatformWith(t, 'leaving');
+	const before = await callUntilNotice(platform);
 	platform.endpoints[0]?.setBehaviour(behaviours.whole);
 	platform.store.registerEndpoint('i-0', {
 		pool: 'register', address: platform.endpoints[0]?.address ?? '', slots: 5, state: 'ready',
@@ -102,7 +102,7 @@
 	t.equal(countArrivals(platform)[0], before);
 });
 
-test('an endpoint is not taken to leave by the answer to another request', async t => {
+test('an answer to another request does not mark an endpoint as draining', async t => {
 	const platform = await startPlatform(t, ['leavingOther', 'whole']);
 	await platform.open();
 	t.same(await callOften(platform), Array.from({length: calls}, () => 200));
--- a/node/gateway/test/gateway.test.ts
+++ b/node/gateway/test/gateway.test.ts
@@ -5,7 +5,7 @@
 import {waitUntil} from '@valvesaddle/fake-fleet';
 import {startPlatform} from './start-platform.ts';
 
-test('a node without configuration is not ready and refuses with a time to come back', async t => {
+test('a node without configuration is not ready and answers 503 with Retry-After', async t => {
 	const platform = await startPlatform(t);
 	t.notOk(await platform.isReady());
 	const answer = await platform.call('/safe/x');
@@ -15,7 +15,7 @@
 	t.equal((await platform.call('/safe/x')).status, 200);
 });
 
-test('what the configuration does not allow is refused and sent nowhere', async t => {
+test('a request that the configuration does not allow is refused without reaching an endpoint', async t => {
 	const platform = await startPlatform(t);
 	await platform.open();
 	t.equal((await platform.call('/unknown/x')).status, 404);
@@ -27,7 +27,7 @@
 	t.equal(platform.arrived.length, 0);
 });
 
-test('a request reaches the endpoint as the caller sent it, with the account and the time that is left', async t => {
+test('a request reaches the endpoint unchanged, with the account and the remaining time', async t => {
 	const platform = await startPlatform(t);
 	await platform.open();
 	await platform.call('/unsafe/x?y=%2F', {body: 'some body', headers: {'x-deadline-ms': '4000', 'x-tenant': 'forged'}});
@@ -41,7 +41,7 @@
 	t.ok(left > 0 && left <= 4000);
 });
 
-test('a request that is over its time gets its final answer at once, with what is known about the run', async t => {
+test('a request that exceeds its timeout is answered 504 and reports that it may have run', async t => {
 	const platform = await startPlatform(t, ['silent']);
 	await platform.open();
 	const answer = await platform.call('/short/x');
@@ -50,19 +50,19 @@
 	t.equal(platform.arrived.length, 1);
 });
 
-test('when a caller goes away its endpoint is told to stop', async t => {
+test('the connection to the endpoint is closed when the caller disconnects', async t => {
 	const platform = await startPlatform(t, ['silent']);
 	await platform.open();
 	const caller = new AbortController();
-	const call = platform.call('/unsafe/x', {signal: caller.signal}).catch(() => 'gone');
+	const call = platform.call('/unsafe/x', {signal: caller.signal}).catch(() => 'aborted');
 	await waitUntil(() => platform.arrived.length === 1);
 	caller.abort();
-	t.equal(await call, 'gone');
+	t.equal(await call, 'aborted');
 	await waitUntil(() => platform.endpoints.some(endpoint => endpoint.closedConnections() > 0));
 	t.equal(platform.arrived.length, 1);
 });
 
-test('an endpoint that drains or is gone gets no new work', async t => {
+test('a draining or removed endpoint gets no new requests', async t => {
 	const platform = await startPlatform(t);
 	await platform.open();
 	platform.store.remove('servers/i-0');
@@ -75,7 +75,7 @@
 	t.equal(platform.arrived.length, before);
 });
 
-test('a new configuration is in force without a gap, and an older one never comes back', async t => {
+test('a new configuration replaces the old one without a gap, and an older one is ignored', async t => {
 	const platform = await startPlatform(t);
 	await platform.open();
 	const [first] = platform.configuration.routes;
@@ -89,26 +89,26 @@
 	t.equal((await platform.call('/new/x')).status, 200);
 });
 
-test('a caller that goes away from a request that may be repeated is not served elsewhere either', async t => {
+test('a safe request is not retried after its caller disconnects', async t => {
 	const platform = await startPlatform(t, ['silent', 'whole']);
 	await platform.open();
 	const caller = new AbortController();
-	const call = platform.call('/safe/x', {signal: caller.signal}).catch(() => 'gone');
+	const call = platform.call('/safe/x', {signal: caller.signal}).catch(() => 'aborted');
 	await waitUntil(() => platform.arrived.length === 1);
 	caller.abort();
-	t.equal(await call, 'gone');
+	t.equal(await call, 'aborted');
 	await waitUntil(() => platform.endpoints.some(endpoint => endpoint.closedConnections() > 0));
 	t.equal((await platform.call('/safe/y')).status, 200);
 	t.same(platform.arrived.map(({line}) => line), ['GET /safe/x HTTP/1.1', 'GET /safe/y HTTP/1.1']);
 });
 
-test('an endpoint whose leaving a node has seen gets no new work while the store is away', async t => {
+test('an endpoint that was seen draining gets no new requests while the store is unavailable', async t => {
 	const platform = await startPlatform(t);
 	await platform.open();
 	platform.store.registerEndpoint('i-1', {
 		pool: 'register', address: platform.endpoints[1]?.address ?? '', slots: 4, state: 'draining',
 	});
-	// Changes come in their order: once the second one is in force, the first has been seen.
+	// Changes arrive in order: once the second one is in use, the first has been applied.
 	const [first] = platform.configuration.routes;
 	platform.store.put('op/config', {...platform.configuration, version: 5, routes: [{...first, prefix: '/new/'}, ...platform.configuration.routes]});
 	await waitUntil(async () => (await platform.call('/new/x')).status === 200);
@@ -123,7 +123,7 @@
 });
 
 for (const fault of [undefined, 'silent', 'refuse'] as const) {
-	test(`a node that leaves is not ready, finishes what is open, and tells callers to close their connections; store: ${fault ?? 'well'}`, async t => {
+	test(`a draining node is not ready, finishes open requests and asks callers to close their connections; store: ${fault ?? 'available'}`, async t => {
 		const platform = await startPlatform(t, ['silent', 'whole']);
 		await platform.open();
 		platform.store.setFault(fault);
@@ -146,7 +146,7 @@
 	});
 }
 
-test('a request that a kept connection brings to a node that drains is refused and sent nowhere', async t => {
+test('a draining node refuses a request on a persistent connection', async t => {
 	const platform = await startPlatform(t, ['silent', 'whole']);
 	await platform.open();
 	const [host = '', port = ''] = platform.addresses.callers.split(':', 2);
@@ -160,7 +160,7 @@
 	socket.write(`GET /unsafe/x HTTP/1.1\r\n${head}X-Attempt-Id: a1\r\n\r\n`);
 	await waitUntil(() => platform.arrived.length === 1);
 	const drained = platform.gateway.drain();
-	// The node takes no more connections once it drains.
+	// A draining node accepts no new connections.
 	await waitUntil(async () => await platform.call('/safe/x').catch(() => undefined) === undefined);
 	const before = platform.arrived.length;
 	socket.write(`GET /unsafe/y HTTP/1.1\r\n${head}X-Attempt-Id: a2\r\n\r\n`);
--- a/node/gateway/test/incarnations.test.ts
+++ b/node/gateway/test/incarnations.test.ts
@@ -4,10 +4,10 @@
 
 const minuteMs = 60_000;
 
-async function openPlatform(t: Test, turns: Parameters<typeof startPlatform>[1]) {
-	const platform = await startPlatform(t, turns);
+async function openPlatform(t: Test, sequence: Parameters<typeof startPlatform>[1]) {
+	const platform = await startPlatform(t, sequence);
 	/**
-	Writes an entry as a process does that started at `born`, which listens where the endpoint of that index does.
+	Writes an entry of a process that started at `born` and listens at the address of the endpoint with that index.
 	*/
 	function register(id: string, index: number, born: number): void {
 		platform.store.registerEndpoint(id, {
@@ -24,9 +24,9 @@
 	return Number(new RegExp(String.raw`^\S*${name}\S* (\d+)`, 'mv').exec(text)?.[1] ?? 0);
 }
 
-for (const [path, again] of [['/safe/x', 'whole'], ['/resumable/x', 'stream']] as const) {
-	test(`${path} goes elsewhere when the process that it was sent to has ended, though its connection says nothing`, async t => {
-		const platform = await openPlatform(t, ['silent', again]);
+for (const [path, secondBehaviour] of [['/safe/x', 'whole'], ['/resumable/x', 'stream']] as const) {
+	test(`${path} is retried elsewhere when the process that it was sent to was replaced, though its connection stays open`, async t => {
+		const platform = await openPlatform(t, ['silent', secondBehaviour]);
 		await platform.open();
 		platform.store.remove('servers/i-1');
 		platform.register('i-0', 0, Date.now() - minuteMs);
@@ -40,7 +40,7 @@
 }
 
 for (const path of ['/unsafe/x', '/stream/x']) {
-	test(`${path} never runs again, however its process ends`, async t => {
+	test(`${path} is not retried when the process that it was sent to is replaced`, async t => {
 		const platform = await openPlatform(t, ['silent', 'whole']);
 		await platform.open();
 		platform.store.remove('servers/i-1');
@@ -53,12 +53,12 @@
 		platform.endpoints[0]?.answerOpen('reset');
 		t.equal((await answered).status, 502);
 		t.equal(platform.arrived.length, 1);
-		t.equal((await platform.call('/safe/x')).status, 200, 'the process that started again gets new ones');
+		t.equal((await platform.call('/safe/x')).status, 200, 'the new process gets new requests');
 		t.equal(platform.endpoints[1]?.arrived().length, 1);
 	});
 }
 
-test('an entry that the process before wrote late draws no requests back to it', async t => {
+test('a late entry of the previous process attracts no requests', async t => {
 	const platform = await openPlatform(t, ['whole']);
 	await platform.open();
 	platform.store.remove('servers/i-1');
@@ -70,22 +70,22 @@
 	t.equal(platform.endpoints[1]?.arrived().length, 1);
 });
 
-const foreignEntries: ReadonlyArray<readonly [what: string, write: (platform: Awaited<ReturnType<typeof openPlatform>>) => void]> = [
-	['of bytes that cannot be read', ({store}) => {
+const invalidEntries: ReadonlyArray<readonly [what: string, write: (platform: Awaited<ReturnType<typeof openPlatform>>) => void]> = [
+	['of invalid bytes', ({store}) => {
 		store.putBytes('servers/i-1', '*');
 	}],
-	['of another form', ({store}) => {
+	['of another schema', ({store}) => {
 		store.put('servers/i-1', {service: 'register'});
 	}],
-	['of a service that is not known', ({store, endpoints}) => {
+	['of an unknown service', ({store, endpoints}) => {
 		store.registerEndpoint('i-1', {
 			pool: 'unknown', address: endpoints[1]?.address ?? '', slots: 4, state: 'ready',
 		});
 	}],
 ];
 
-for (const [what, write] of foreignEntries) {
-	test(`an entry ${what} draws no request, all others hold, and the endpoint's next word brings it back`, async t => {
+for (const [what, write] of invalidEntries) {
+	test(`an endpoint with an entry ${what} gets no requests until its next valid entry, and other entries stay valid`, async t => {
 		const platform = await openPlatform(t, ['whole']);
 		await platform.open();
 		write(platform);
--- a/node/gateway/test/measure-capacity.test.ts
+++ b/node/gateway/test/measure-capacity.test.ts
@@ -5,7 +5,7 @@
 	name: 'n', data_centre: 'a', region: 'r', cpu_share: 0.5, core_speed: 2, link_mbps: 1000,
 };
 
-test('the scarcer of processor and link says what a node can carry for the fleet', t => {
+test('the scarcer of CPU and link bandwidth limits the capacity of a node', t => {
 	t.equal(measureCapacity(node), 1);
 	t.equal(measureCapacity({...node, link_mbps: 6.5}), 0.1);
 	t.equal(measureCapacity({...node, link_mbps: 200}), 1);
--- a/node/gateway/test/parse-load-update.test.ts
+++ b/node/gateway/test/parse-load-update.test.ts
@@ -1,5 +1,5 @@
 /*
-News of another form are refused as a whole, whatever is wrong with them, and never taken for less than they say.
+A malformed load update is rejected as a whole, never applied in part.
 */
 import fc from 'fast-check';
 import {test} from 'tap';
@@ -9,8 +9,8 @@
 const load: readonly unknown[] = ['i-1', 2, [0, 800], 0.5, 1, 0, 100, 7];
 const placement: readonly unknown[] = ['i-1', 'p', ['a'], 600];
 
-test('rows that are too short, too long, of other types or out of range are refused', t => {
-	const wrong: readonly unknown[] = [
+test('rows of a wrong length, of wrong types or out of range are rejected', t => {
+	const malformed: readonly unknown[] = [
 		undefined,
 		null,
 		3,
@@ -26,18 +26,18 @@
 		...[[], [...placement, 1], placement.with(0, 1), placement.with(2, ['a', 2]), placement.with(3, NaN)]
 			.map(row => ({nodes: 1, loads: [], placements: [placement, row]})),
 	];
-	for (const message of wrong) {
+	for (const message of malformed) {
 		t.throws(() => parseLoadUpdate(message), JSON.stringify(message));
 	}
 
 	t.end();
 });
 
-test('whatever is sent is read or refused; what is read can be told on', t => {
+test('any message is parsed or rejected, and a parsed one can be formatted again', t => {
 	fc.assert(fc.property(fc.oneof(fc.jsonValue(), fc.record({nodes: fc.nat(), loads: fc.array(fc.constantFrom(load, load.with(1, 'x'))), placements: fc.array(fc.constantFrom(placement, [1]))})), message => {
 		try {
-			const news = parseLoadUpdate(message);
-			return JSON.stringify(formatLoadUpdate({origin: 'n1', ...news})).length > 0;
+			const update = parseLoadUpdate(message);
+			return JSON.stringify(formatLoadUpdate({origin: 'n1', ...update})).length > 0;
 		} catch (error) {
 			return error instanceof Error;
 		}
--- a/node/gateway/test/peer-sync.test.ts
+++ b/node/gateway/test/peer-sync.test.ts
@@ -30,18 +30,18 @@
 	isSteady: true,
 };
 
-type SyncChange = {
+type SyncOptions = {
 	/**
 	Nodes with an open link.
 	*/
 	readonly connected?: readonly string[];
 	readonly meshNodes?: number;
-	readonly silenceBeatMs?: number;
+	readonly heartbeatMs?: number;
 	readonly isSteady?: boolean;
 	readonly capacity?: number;
 };
 
-const centres = ['a', 'b', 'c', 'd'] as const;
+const dataCentres = ['a', 'b', 'c', 'd'] as const;
 
 function toNode(id: string, dataCentre = 'a'): GatewayNode {
 	return {
@@ -50,16 +50,16 @@
 }
 
 /**
-Fleet of 40 nodes, `n1` among them, in which four strong ones are followers of the store.
+Fleet of 40 nodes with `n1`, in which four nodes of higher capacity are followers of the store.
 */
 function createFleet(): readonly GatewayNode[] {
-	return Array.from({length: 40}, (_, index) => ({...toNode(index < 8 ? `r${index}` : `n${index - 7}`, centres[index % centres.length]), capacity: index < 8 ? 2 : 1}));
+	return Array.from({length: 40}, (_, index) => ({...toNode(index < 8 ? `r${index}` : `n${index - 7}`, dataCentres[index % dataCentres.length]), capacity: index < 8 ? 2 : 1}));
 }
 
 /**
-A node `n1` whose store does not answer, with a peer `n2` that is up to date.
+A node `n1` whose store doesn't answer, with a peer `n2` that is up to date.
 */
-function createSync(t: Test, {connected = ['n2'], meshNodes = 16, silenceBeatMs = 1000, isSteady = false, capacity = 1}: SyncChange = {}) {
+function createSync(t: Test, {connected = ['n2'], meshNodes = 16, heartbeatMs = 1000, isSteady = false, capacity = 1}: SyncOptions = {}) {
 	const logger = createLogger({node: 'n1', level: 'silent'});
 	const metrics = createMetrics();
 	const view = createClusterView({logger, metrics});
@@ -69,21 +69,21 @@
 	const broadcasts: Array<readonly [method: string, parameters: unknown, nodes: readonly string[] | undefined]> = [];
 	const links = new Set(connected);
 	/**
-	Nodes that have not taken in what was sent before.
+	Nodes whose links are congested.
 	*/
-	const full = new Set<string>();
+	const congested = new Set<string>();
 	const network: PeerNetwork = {
 		events,
 		listen: async () => '',
 		call(node, method) {
 			calls.push(`${method} of ${node}`);
-			return setup.isMute ? new ResultAsync(Promise.withResolvers<never>().promise) : okAsync(peerState);
+			return setup.isUnanswered ? new ResultAsync(Promise.withResolvers<never>().promise) : okAsync(peerState);
 		},
 		notify(node, method) {
 			notified.push([node, method]);
 			links.add(node);
 		},
-		isReady: node => !full.has(node),
+		isReady: node => !congested.has(node),
 		broadcast(method, parameters, nodes) {
 			broadcasts.push([method, parameters, nodes]);
 		},
@@ -106,7 +106,7 @@
 		selector,
 		loadUpdateMs: 1,
 		hasOpenRequests: () => true,
-		heartbeatMs: silenceBeatMs,
+		heartbeatMs,
 		meshNodes,
 		suspectMs: 3_600_000,
 		logger,
@@ -117,11 +117,11 @@
 		view.close();
 	});
 	const setup = {
-		view, events, calls, notified, broadcasts, links, full, selector, sync, handlers,
+		view, events, calls, notified, broadcasts, links, congested, selector, sync, handlers,
 		/**
-		Whether peers leave questions open.
+		Whether peers leave calls unanswered.
 		*/
-		isMute: false,
+		isUnanswered: false,
 		isSteady,
 	};
 	return setup;
@@ -131,17 +131,17 @@
 	view.applyChanges({revision: 3, changes: nodes.map(node => ({kind: 'node' as const, revision: 3, node}))}, 'peer');
 }
 
-test('a node that the store refuses learns configuration and drains from a peer that is ahead', async t => {
+test('a node without a store connection reads configuration and endpoint states from a peer that is ahead', async t => {
 	const {view, calls, handlers} = createSync(t);
 	handlers['cluster.heartbeat']?.({revision: 9, confirmedAgoMs: 20}, 'n2');
 	await waitUntil(() => view.configuration()?.version === 4);
 	t.same(view.endpoints().map(({state}) => state), ['draining']);
 	t.equal(view.revision(), 9);
 	handlers['cluster.heartbeat']?.({revision: 9, confirmedAgoMs: 20}, 'n2');
-	t.same(calls, ['cluster.state of n2'], 'a peer that is not ahead is not asked');
+	t.same(calls, ['cluster.state of n2'], 'a peer that is not ahead is not called');
 });
 
-test('a node that keeps an entry as lapsed asks a peer at its own revision whether it was removed', async t => {
+test('a node with pending removals reads the state of a peer at its own revision', async t => {
 	const {view, calls, handlers} = createSync(t);
 	view.applyAll({revision: 5, changes: [{kind: 'endpoint', revision: 3, endpoint: {...peerState.endpoints[0]!.endpoint, id: 'i-2', state: 'ready'}}]}, 'store');
 	view.setLapseUntil(performance.now() + 60_000);
@@ -153,14 +153,14 @@
 	t.same(calls, ['cluster.state of n2']);
 });
 
-test('a peer that lost the store itself, and has heard of none that has not, is not asked', t => {
+test('a peer without a recent confirmation of the store is not called', t => {
 	const {calls, handlers} = createSync(t);
 	handlers['cluster.heartbeat']?.({revision: 9, confirmedAgoMs: 60_000}, 'n2');
 	t.same(calls, []);
 	t.end();
 });
 
-test('messages of a wrong form change nothing', t => {
+test('malformed messages change nothing', t => {
 	const {view, handlers} = createSync(t);
 	t.throws(() => handlers['cluster.heartbeat']?.({revision: 'nine'}, 'n2'));
 	t.throws(() => handlers['cluster.changes']?.({after: 1}, 'n2'));
@@ -170,43 +170,43 @@
 	t.end();
 });
 
-test('of two nodes the one with the smaller id opens the link, and a new peer is told all own work', async t => {
+test('of two nodes the one with the smaller id opens the link, and a new peer is sent the full load', async t => {
 	const setup = createSync(t);
 	addNodes(setup, ['n0', 'n2', 'n3'].map(id => toNode(id)));
 	setup.sync.start();
 	await waitUntil(() => setup.notified.length > 0);
-	t.same(setup.notified[0], ['n3', 'load.news'], 'n0 opens its own link, n2 is linked');
+	t.same(setup.notified[0], ['n3', 'load.news'], 'n0 opens its own link, and n2 is already linked');
 	setup.sync.close();
 	setup.notified.length = 0;
 	await setup.events.emit('found', {node: 'n2'});
 	t.same(setup.notified, [['n2', 'load.news']]);
 });
 
-test('when the fleet grows large a node keeps one link of those that it opened, to a relay of its data centre', async t => {
-	const setup = createSync(t, {connected: ['m1'], silenceBeatMs: 100});
+test('a node in a fleet that has grown large keeps one of the links that it opened, to a relay of its data centre', async t => {
+	const setup = createSync(t, {connected: ['m1'], heartbeatMs: 100});
 	addNodes(setup, ['n2', 'n3'].map(id => toNode(id)));
 	setup.sync.start();
 	await waitUntil(() => setup.links.has('n2') && setup.links.has('n3'));
 	setup.view.applyChanges({revision: 4, changes: createFleet().map(node => ({kind: 'node' as const, revision: 4, node}))}, 'peer');
 	await waitUntil(() => setup.links.size === 2 && !setup.links.has('n2'));
 	const [first, parent = ''] = setup.links;
-	t.equal(first, 'm1', 'what another node opened is left to it');
+	t.equal(first, 'm1', 'a link that a peer opened stays open');
 	t.match(parent, /^r[04]$/v);
 });
 
-test('a relay that stays silent is left for another', async t => {
-	const setup = createSync(t, {connected: [], silenceBeatMs: 5});
+test('a node replaces a parent that times out', async t => {
+	const setup = createSync(t, {connected: [], heartbeatMs: 5});
 	addNodes(setup, createFleet());
 	setup.sync.start();
 	await waitUntil(() => new Set(setup.notified.map(([node]) => node)).size >= 3);
-	const asked = [...new Set(setup.notified.map(([node]) => node))];
-	t.match(asked[0], /^r[04]$/v);
-	t.match(asked[1], /^r[04]$/v, 'the other one of the data centre comes next');
-	t.match(asked[2], /^r[123567]$/v, 'then one farther away');
+	const contacted = [...new Set(setup.notified.map(([node]) => node))];
+	t.match(contacted[0], /^r[04]$/v);
+	t.match(contacted[1], /^r[04]$/v, 'then the other relay of the data centre');
+	t.match(contacted[2], /^r[123567]$/v, 'then a relay of another data centre');
 });
 
-test('a node whose relay breaks off moves to another one at once', async t => {
-	const setup = createSync(t, {connected: [], silenceBeatMs: 60_000});
+test('a node that loses the link to its parent chooses another at once', async t => {
+	const setup = createSync(t, {connected: [], heartbeatMs: 60_000});
 	addNodes(setup, createFleet());
 	setup.sync.start();
 	await waitUntil(() => setup.links.size === 1);
@@ -217,21 +217,21 @@
 	t.notOk(setup.links.has(first));
 });
 
-test('only a follower, and a node that has heard no confirmation of late, asks the store itself', async t => {
-	const setup = createSync(t, {connected: [], silenceBeatMs: 100});
+test('only a follower, or a node without a recent confirmation, watches the store itself', async t => {
+	const setup = createSync(t, {connected: [], heartbeatMs: 100});
 	addNodes(setup, createFleet());
 	setup.sync.start();
 	await waitUntil(() => setup.links.size === 1);
-	t.ok(setup.sync.isStoreNeeded(), 'nothing is confirmed yet');
+	t.ok(setup.sync.isStoreNeeded(), 'no confirmation yet');
 	setup.handlers['cluster.heartbeat']?.({revision: 3, confirmedAgoMs: 0, confirmation: {by: 'r0', number: 7}}, 'r0');
 	t.notOk(setup.sync.isStoreNeeded());
 	setup.handlers['cluster.heartbeat']?.({revision: 3, confirmedAgoMs: 5000, confirmation: {by: 'r0', number: 8}}, 'r0');
-	t.notOk(setup.sync.isStoreNeeded(), 'an older confirmation takes nothing back');
+	t.notOk(setup.sync.isStoreNeeded(), 'an older confirmation changes nothing');
 	await waitUntil(() => setup.sync.isStoreNeeded());
-	t.ok(setup.sync.isStoreNeeded(), 'six heartbeats without one are too long');
+	t.ok(setup.sync.isStoreNeeded(), 'after six heartbeats without a confirmation');
 });
 
-test('changes that leave no gap are applied as they come, others are asked for', async t => {
+test('changes without a gap are applied, and for others the state is read from the peer', async t => {
 	const {view, calls, handlers} = createSync(t);
 	const toChanges = (after: number, revision: number) => ({
 		after, changes: {revision, changes: [{kind: 'node', revision, node: toNode(`m${revision}`)}]},
@@ -243,7 +243,7 @@
 	t.same(calls, ['cluster.state of n2']);
 });
 
-test('a relay passes changes on to its members alone, and a follower also to relays', async t => {
+test('a relay forwards changes to its members only, and a follower also to relays', async t => {
 	for (const isSteady of [false, true]) {
 		const setup = createSync(t, {
 			connected: ['r2', 'n5', 'n6'], meshNodes: 3, isSteady, capacity: 9,
@@ -263,7 +263,7 @@
 	}
 });
 
-test('the work of nodes that a lost relay told of is forgotten with it', async t => {
+test('the load that a lost relay reported is removed', async t => {
 	const {events, selector, handlers} = createSync(t, {connected: []});
 	selector.setPools([{name: 'p', engine: undefined}]);
 	for (const id of ['i-1', 'i-2']) {
@@ -272,21 +272,21 @@
 		});
 	}
 
-	const question = {
+	const selectionRequest = {
 		pool: 'p', objectiveMs: 100, pauseObjectiveMs: 0, urgency: 0, promptTokens: 0, parts: [], tried: new Set<string>(),
 	};
-	const toNews = (endpoint: string, open: number) => formatLoadUpdate({
+	const toLoadUpdate = (endpoint: string, open: number) => formatLoadUpdate({
 		origin: '', nodes: 1, loads: [[endpoint, {...noLoad, open}]], placements: [],
 	});
-	handlers['load.news']?.(toNews('i-1', 9), 'r0');
-	t.equal(selector.choose(question)?.endpoint.id, 'i-2');
-	handlers['load.news']?.(toNews('i-2', 5), 'n3');
-	t.equal(selector.choose(question)?.endpoint.id, 'i-2');
+	handlers['load.news']?.(toLoadUpdate('i-1', 9), 'r0');
+	t.equal(selector.choose(selectionRequest)?.endpoint.id, 'i-2');
+	handlers['load.news']?.(toLoadUpdate('i-2', 5), 'n3');
+	t.equal(selector.choose(selectionRequest)?.endpoint.id, 'i-2');
 	await events.emit('lost', {node: 'r0'});
-	t.equal(selector.choose(question)?.endpoint.id, 'i-1');
+	t.equal(selector.choose(selectionRequest)?.endpoint.id, 'i-1');
 });
 
-test('what nodes tell the store comes less often in a larger fleet, up to a bound', t => {
+test('nodes write to the store less often in a larger fleet, up to a bound', t => {
 	t.equal(measureFleet(0), 1);
 	t.equal(measureFleet(9), 1);
 	t.equal(measureFleet(90), 10);
@@ -294,41 +294,41 @@
 	t.end();
 });
 
-test('work is told to links that have taken in what was sent before, heartbeats to all', async t => {
-	const setup = createSync(t, {connected: ['n2', 'n3'], silenceBeatMs: 5});
+test('load updates go only to links that are not congested, heartbeats to all', async t => {
+	const setup = createSync(t, {connected: ['n2', 'n3'], heartbeatMs: 5});
 	addNodes(setup, ['n2', 'n3'].map(id => toNode(id)));
-	setup.full.add('n3');
+	setup.congested.add('n3');
 	setup.sync.start();
 	await waitUntil(() => setup.notified.some(([node]) => node === 'n2') && setup.broadcasts.some(([method]) => method === 'cluster.heartbeat'));
 	t.notOk(setup.notified.some(([node]) => node === 'n3'));
-	setup.full.clear();
+	setup.congested.clear();
 	await waitUntil(() => setup.notified.some(([node, method]) => node === 'n3' && method === 'load.news'));
 	const heartbeats = setup.broadcasts.filter(broadcast => broadcast[0] === 'cluster.heartbeat');
-	t.ok(heartbeats.every(broadcast => broadcast[2] === undefined), 'to every open link');
+	t.ok(heartbeats.every(broadcast => broadcast[2] === undefined), 'heartbeats go to every open link');
 });
 
-test('a heartbeat that waited on its way confirms nothing since it was sent', async t => {
-	const setup = createSync(t, {connected: [], silenceBeatMs: 10_000});
+test('a delayed heartbeat confirms nothing after the time it was sent', async t => {
+	const setup = createSync(t, {connected: [], heartbeatMs: 10_000});
 	addNodes(setup, createFleet());
 	setup.sync.start();
 	await waitUntil(() => setup.links.size === 1);
 	const clockOffset = 5_000_000;
 	let number = 0;
-	const beat = (waitedMs: number, confirmedAgoMs: number) => ({
+	const createHeartbeat = (waitedMs: number, confirmedAgoMs: number) => ({
 		revision: 9, confirmedAgoMs, confirmation: {by: 'r0', number: ++number}, sentAt: performance.now() + clockOffset - waitedMs,
 	});
-	setup.handlers['cluster.heartbeat']?.(beat(0, 120_000), 'r0');
-	t.ok(setup.sync.isStoreNeeded(), 'nothing is confirmed yet');
-	setup.handlers['cluster.heartbeat']?.(beat(120_000, 0), 'r0');
+	setup.handlers['cluster.heartbeat']?.(createHeartbeat(0, 120_000), 'r0');
+	t.ok(setup.sync.isStoreNeeded(), 'no confirmation yet');
+	setup.handlers['cluster.heartbeat']?.(createHeartbeat(120_000, 0), 'r0');
 	t.ok(setup.sync.isStoreNeeded(), 'the store was confirmed two minutes ago');
-	t.same(setup.calls, [], 'nor is a peer asked whose word is that old');
-	setup.handlers['cluster.heartbeat']?.(beat(1000, 1000), 'r0');
+	t.same(setup.calls, [], 'a peer with a confirmation that old is not called');
+	setup.handlers['cluster.heartbeat']?.(createHeartbeat(1000, 1000), 'r0');
 	t.notOk(setup.sync.isStoreNeeded());
 	t.same(setup.calls, ['cluster.state of r0']);
 });
 
-test('a relay whose messages wait for long on their way is left for another', async t => {
-	const setup = createSync(t, {connected: [], silenceBeatMs: 20});
+test('a node replaces a parent whose messages are delayed too long', async t => {
+	const setup = createSync(t, {connected: [], heartbeatMs: 20});
 	addNodes(setup, createFleet());
 	setup.sync.start();
 	await waitUntil(() => setup.links.size === 1);
@@ -341,12 +341,12 @@
 	t.equal(setup.links.size, 1);
 });
 
-test('a newer configuration is asked for whatever the age of the peer\'s word, and an open question keeps no other from being asked', async t => {
-	const setup = createSync(t, {silenceBeatMs: 5});
+test('a newer configuration is read whatever the age of the peer\'s confirmation, and an unanswered call does not block other peers', async t => {
+	const setup = createSync(t, {heartbeatMs: 5});
 	setup.handlers['cluster.heartbeat']?.({revision: 2, version: 4, confirmedAgoMs: 60_000}, 'n2');
 	t.same(setup.calls, ['cluster.state of n2']);
 	await waitUntil(() => setup.view.configuration()?.version === 4);
-	setup.isMute = true;
+	setup.isUnanswered = true;
 	setup.handlers['cluster.heartbeat']?.({revision: 2, version: 5, confirmedAgoMs: 60_000}, 'n3');
 	setup.handlers['cluster.heartbeat']?.({revision: 2, version: 5, confirmedAgoMs: 60_000}, 'n4');
 	t.same(setup.calls.slice(1), ['cluster.state of n3'], 'one peer at a time');
@@ -357,52 +357,52 @@
 	t.equal(setup.view.configuration()?.version, 4);
 });
 
-test('a node that peers leave behind a newer configuration asks the store itself', async t => {
-	const setup = createSync(t, {connected: [], silenceBeatMs: 20});
+test('a node that gets no newer configuration from its peers watches the store itself', async t => {
+	const setup = createSync(t, {connected: [], heartbeatMs: 20});
 	addNodes(setup, createFleet());
-	setup.isMute = true;
+	setup.isUnanswered = true;
 	setup.sync.start();
 	await waitUntil(() => setup.links.size === 1);
 	let number = 0;
-	const beat = (revision: number) => ({
+	const createHeartbeat = (revision: number) => ({
 		revision, version: 9, confirmedAgoMs: 0, confirmation: {by: 'r0', number: ++number},
 	});
-	setup.handlers['cluster.heartbeat']?.(beat(3), 'r0');
+	setup.handlers['cluster.heartbeat']?.(createHeartbeat(3), 'r0');
 	t.notOk(setup.sync.isStoreNeeded());
 	await waitUntil(() => {
-		setup.handlers['cluster.heartbeat']?.(beat(3), 'r0');
+		setup.handlers['cluster.heartbeat']?.(createHeartbeat(3), 'r0');
 		return setup.sync.isStoreNeeded();
 	});
 	setup.view.applyChanges({revision: 4, changes: [{kind: 'configuration', revision: 4, configuration: {...peerState.configuration!, version: 9}}]}, 'store');
-	setup.handlers['cluster.heartbeat']?.(beat(4), 'r0');
+	setup.handlers['cluster.heartbeat']?.(createHeartbeat(4), 'r0');
 	t.notOk(setup.sync.isStoreNeeded());
 });
 
-test('a member that missed something on the way to its relay\'s revision asks for it, not with every heartbeat', async t => {
-	const setup = createSync(t, {connected: [], silenceBeatMs: 3000});
+test('a member whose digest differs at its relay\'s revision reads the state, but not with every heartbeat', async t => {
+	const setup = createSync(t, {connected: [], heartbeatMs: 3000});
 	addNodes(setup, createFleet());
 	setup.sync.start();
 	await waitUntil(() => setup.links.size === 1);
 	const [relay = ''] = setup.links;
 	setup.view.applyChanges({revision: 9, changes: []}, 'peer');
-	const beat = {
+	const heartbeat = {
 		revision: 9, digest: 1, version: -1, confirmedAgoMs: 0,
 	};
-	setup.handlers['cluster.heartbeat']?.({...beat, digest: setup.view.digest()}, relay);
-	setup.handlers['cluster.heartbeat']?.({...beat, digest: undefined}, relay);
-	setup.handlers['cluster.heartbeat']?.(beat, 'r7');
-	t.same(setup.calls, [], 'not the same, nor a peer that this node does not hear changes from');
-	setup.isMute = true;
+	setup.handlers['cluster.heartbeat']?.({...heartbeat, digest: setup.view.digest()}, relay);
+	setup.handlers['cluster.heartbeat']?.({...heartbeat, digest: undefined}, relay);
+	setup.handlers['cluster.heartbeat']?.(heartbeat, 'r7');
+	t.same(setup.calls, [], 'an equal or missing digest or a peer that is not the source causes no call');
+	setup.isUnanswered = true;
 	for (let digest = 1; digest <= 20; digest++) {
-		setup.handlers['cluster.heartbeat']?.({...beat, digest}, relay);
+		setup.handlers['cluster.heartbeat']?.({...heartbeat, digest}, relay);
 	}
 
 	t.same(setup.calls, [`cluster.state of ${relay}`]);
 });
 
-test('a peer that has not answered is not asked again, whatever it is ahead by', async t => {
-	const setup = createSync(t, {silenceBeatMs: 2});
-	setup.isMute = true;
+test('a peer with an unanswered call is not called again, however far ahead it is', async t => {
+	const setup = createSync(t, {heartbeatMs: 2});
+	setup.isUnanswered = true;
 	setup.handlers['cluster.heartbeat']?.({revision: 9, version: 5, confirmedAgoMs: 0}, 'n2');
 	await waitUntil(() => {
 		setup.handlers['cluster.heartbeat']?.({revision: 9, version: 5, confirmedAgoMs: 0}, 'n2');
@@ -413,9 +413,9 @@
 	t.same(setup.calls, ['cluster.state of n2', 'cluster.state of n3']);
 });
 
-test('what is new in changes with a gap before them counts at once, the revision when the gap is closed', t => {
+test('changes after a gap apply at once, and the revision advances when the gap is closed', t => {
 	const setup = createSync(t);
-	setup.isMute = true;
+	setup.isUnanswered = true;
 	setup.handlers['cluster.changes']?.({after: 6, changes: {revision: 7, changes: [{kind: 'configuration', revision: 7, configuration: {...peerState.configuration, version: 8}}]}}, 'n2');
 	t.equal(setup.view.configuration()?.version, 8);
 	t.equal(setup.view.revision(), -1);
@@ -423,9 +423,9 @@
 	t.end();
 });
 
-test('a follower that is not steady passes on what is new without saying that all up to there is known', async t => {
+test('a follower that is not steady forwards changes without the new revision', async t => {
 	const setup = createSync(t, {
-		connected: ['r2', 'n5'], meshNodes: 3, capacity: 9, silenceBeatMs: 20,
+		connected: ['r2', 'n5'], meshNodes: 3, capacity: 9, heartbeatMs: 20,
 	});
 	addNodes(setup, [{...toNode('r2'), capacity: 8}, toNode('n5'), toNode('n6')]);
 	setup.sync.start();
@@ -439,7 +439,7 @@
 	t.same(nodes, ['r2', 'n5']);
 });
 
-test('news of work are read as they were written, but for parts of a token, a millisecond and a hundredth of a request', t => {
+test('a load update is parsed as formatted, rounded to tokens, milliseconds and hundredths of a request', t => {
 	const loads = [['i-1', {
 		open: 3, unread: [0, 1200.4], sensitivity: 1.23456, witnesses: 2, silent: 1, readTokens: 99.6, readMs: 7.2,
 	}]] as const;
@@ -458,21 +458,21 @@
 	t.end();
 });
 
-test('a word of the store does not grow young by being passed on', async t => {
-	const setup = createSync(t, {connected: [], silenceBeatMs: 20});
+test('forwarding a confirmation does not make it more recent', async t => {
+	const setup = createSync(t, {connected: [], heartbeatMs: 20});
 	addNodes(setup, createFleet());
 	setup.sync.start();
 	await waitUntil(() => setup.links.size === 1);
-	const beat = {revision: 3, confirmedAgoMs: 0, confirmation: {by: 'r0', number: 7}};
-	setup.handlers['cluster.heartbeat']?.(beat, 'r0');
+	const heartbeat = {revision: 3, confirmedAgoMs: 0, confirmation: {by: 'r0', number: 7}};
+	setup.handlers['cluster.heartbeat']?.(heartbeat, 'r0');
 	t.notOk(setup.sync.isStoreNeeded());
 	await waitUntil(() => {
 		for (const peer of ['r0', 'r4', 'r1']) {
-			setup.handlers['cluster.heartbeat']?.(beat, peer);
+			setup.handlers['cluster.heartbeat']?.(heartbeat, peer);
 		}
 
 		return setup.sync.isStoreNeeded();
 	});
-	setup.handlers['cluster.heartbeat']?.({...beat, confirmation: {by: 'r1', number: 2}}, 'r4');
-	t.notOk(setup.sync.isStoreNeeded(), 'a word of another node counts by itself');
+	setup.handlers['cluster.heartbeat']?.({...heartbeat, confirmation: {by: 'r1', number: 2}}, 'r4');
+	t.notOk(setup.sync.isStoreNeeded(), 'a confirmation of another node counts separately');
 });
--- a/node/gateway/test/persistent-connections.test.ts
+++ b/node/gateway/test/persistent-connections.test.ts
@@ -1,6 +1,5 @@
-// A caller sent a request and, while it ran, half a head of the next one or bytes that are no request. Node's HTTP server wrote
-// its own 408 or 400 over the connection as soon as the head took too long or could not be read, and the caller took it for the
-// answer to the request that ran: 408 promises that it did not run, 400 that it never will. Neither left a line nor a count.
+// Guards against a 408 or 400 of Node's HTTP server for a later, incomplete or invalid request on a connection: the caller would
+// take it for the answer to the request that still runs.
 import {connect, type Socket} from 'node:net';
 import {test, type Test} from 'tap';
 import {waitUntil} from '@valvesaddle/fake-fleet';
@@ -9,20 +8,20 @@
 const head = 'Host: permits.example\r\nAuthorization: Bearer key\r\n';
 const unsafeRequest = `POST /unsafe/x HTTP/1.1\r\n${head}X-Attempt-Id: a1\r\nContent-Length: 3\r\n\r\nabc`;
 /**
-Time in which the node would have ended a head that takes too long, in milliseconds.
+Time after which the node must have timed out an incomplete head, in milliseconds.
 */
 const longEnoughMs = 2000;
 
-const halfHead = 'GET /safe/y HTTP/1.1\r\nHost: per';
-const rests: ReadonlyArray<readonly [name: string, rest: string]> = [
-	['half a head that takes too long', halfHead],
-	['bytes that are no request', '\u{0}\u{1} no request\r\n\r\n'],
+const incompleteHead = 'GET /safe/y HTTP/1.1\r\nHost: per';
+const followingBytes: ReadonlyArray<readonly [name: string, rest: string]> = [
+	['an incomplete head that times out', incompleteHead],
+	['bytes that are not a request', '\u{0}\u{1} no request\r\n\r\n'],
 ];
 
 type Platform = Awaited<ReturnType<typeof startPlatform>>;
 
 /**
-Starts a platform that gives heads little time, whose endpoints answer only when they are told to.
+Starts a platform with a short timeout for heads, whose endpoints answer only through `answerOpen`.
 */
 async function startSilentPlatform(t: Test): Promise<Platform> {
 	const platform = await startPlatform(t, ['silent']);
@@ -39,11 +38,11 @@
 }
 
 /**
-Waits until something holds, or would long have held.
+Waits until the condition holds or `longEnoughMs` has passed.
 */
-async function waitLongEnough(hasCome: () => boolean | Promise<boolean>): Promise<void> {
+async function waitLongEnough(isDone: () => boolean | Promise<boolean>): Promise<void> {
 	const until = performance.now() + longEnoughMs;
-	await waitUntil(async () => await hasCome() || performance.now() > until);
+	await waitUntil(async () => await isDone() || performance.now() > until);
 }
 
 function openConnection({addresses}: Platform) {
@@ -72,30 +71,30 @@
 	return (await page.text()).split('\n').filter(line => line.startsWith('valvesaddle_gateway_connection_errors')).join('\n');
 }
 
-for (const [name, rest] of rests) {
-	test(`a request that runs gets its own answer, whatever follows on its connection: ${name}`, async t => {
+for (const [name, rest] of followingBytes) {
+	test(`a running request gets its own answer, whatever follows on its connection: ${name}`, async t => {
 		const platform = await startSilentPlatform(t);
 		const {socket, closed, read} = openConnection(platform);
 		socket.write(unsafeRequest);
 		await waitUntil(() => platform.arrived.length === 1);
 		socket.write(rest);
 		await waitLongEnough(() => read() !== '' || socket.closed);
-		t.equal(read(), '', '400 says nothing of a run, and 408 would promise that there was none');
+		t.equal(read(), '', 'neither 400 nor 408 is sent while the request runs');
 		platform.endpoints[0]?.answerOpen('whole');
 		platform.endpoints[1]?.answerOpen('whole');
 		await closed;
 		t.match(read(), /^HTTP\/1\.1 200 /v);
 		t.notMatch(read(), /HTTP\/1\.1 4/v);
-		t.match(await readErrors(platform), name.startsWith('half') ? /ERR_HTTP_REQUEST_TIMEOUT/v : /HPE_/v);
+		t.match(await readErrors(platform), name.startsWith('an incomplete head') ? /ERR_HTTP_REQUEST_TIMEOUT/v : /HPE_/v);
 	});
 }
 
-test('a head that is whole only after its time runs nowhere, as its connection is about to be closed', async t => {
+test('a request whose head is complete only after the timeout does not run', async t => {
 	const platform = await startSilentPlatform(t);
 	const {socket, closed, read} = openConnection(platform);
 	socket.write(unsafeRequest);
 	await waitUntil(() => platform.arrived.length === 1);
-	socket.write(halfHead);
+	socket.write(incompleteHead);
 	await waitLongEnough(async () => (await readErrors(platform)).includes('ERR_HTTP_REQUEST_TIMEOUT'));
 	socket.write('mits.example\r\nAuthorization: Bearer key\r\nX-Attempt-Id: a2\r\n\r\n');
 	await waitLongEnough(async () => {
@@ -109,15 +108,15 @@
 	t.equal(platform.arrived.length, 1);
 });
 
-for (const [name, rest] of rests) {
-	test(`a caller that leaves after ${name} leaves no run behind`, async t => {
+for (const [name, rest] of followingBytes) {
+	test(`the request of a caller that disconnects after ${name} is cancelled`, async t => {
 		const platform = await startSilentPlatform(t);
 		const {socket, closed} = openConnection(platform);
 		socket.write(unsafeRequest);
 		await waitUntil(() => platform.arrived.length === 1);
 		socket.write(rest);
 		await waitLongEnough(async () => (await readErrors(platform)) !== '');
-		t.notOk(socket.closed, 'until it leaves its run goes on');
+		t.notOk(socket.closed, 'the request runs until the caller disconnects');
 		socket.end();
 		await closed;
 		await waitLongEnough(() => platform.endpoints.some(endpoint => endpoint.closedConnections() > 0));
@@ -126,14 +125,14 @@
 	});
 }
 
-const alone: ReadonlyArray<readonly [status: number, code: string, what: string, bytes: string]> = [
-	[408, 'ERR_HTTP_REQUEST_TIMEOUT', 'half a head', halfHead],
-	[431, 'HPE_HEADER_OVERFLOW', 'a head over what the parser takes', `GET /safe/x HTTP/1.1\r\n${head}X-Long: ${'x'.repeat(200_000)}\r\n\r\n`],
-	[400, 'HPE_INVALID_METHOD', 'bytes that are no request', '\u{1} no request\r\n\r\n'],
-	[400, 'HPE_INVALID_CHUNK_SIZE', 'a body that cannot be read', `POST /unsafe/x HTTP/1.1\r\n${head}Transfer-Encoding: chunked\r\n\r\nno size\r\n`],
+const withoutOpenAnswer: ReadonlyArray<readonly [status: number, code: string, what: string, bytes: string]> = [
+	[408, 'ERR_HTTP_REQUEST_TIMEOUT', 'an incomplete head', incompleteHead],
+	[431, 'HPE_HEADER_OVERFLOW', 'a head over the limit of the parser', `GET /safe/x HTTP/1.1\r\n${head}X-Long: ${'x'.repeat(200_000)}\r\n\r\n`],
+	[400, 'HPE_INVALID_METHOD', 'bytes that are not a request', '\u{1} no request\r\n\r\n'],
+	[400, 'HPE_INVALID_CHUNK_SIZE', 'an invalid body', `POST /unsafe/x HTTP/1.1\r\n${head}Transfer-Encoding: chunked\r\n\r\nno size\r\n`],
 ];
 
-for (const [status, code, what, bytes] of alone) {
+for (const [status, code, what, bytes] of withoutOpenAnswer) {
 	test(`${what} is answered ${status} and counted where no answer is open`, async t => {
 		const platform = await startSilentPlatform(t);
 		const {socket, closed, read} = openConnection(platform);
@@ -145,7 +144,7 @@
 	});
 }
 
-test('an answer in pieces that has begun comes whole, whatever follows on its connection', async t => {
+test('a chunked answer that has begun is completed, whatever follows on its connection', async t => {
 	const platform = await startSilentPlatform(t);
 	const {socket, closed, read} = openConnection(platform);
 	for (const endpoint of platform.endpoints) {
--- a/node/gateway/test/stale-configuration.test.ts
+++ b/node/gateway/test/stale-configuration.test.ts
@@ -7,7 +7,7 @@
 type Platform = Awaited<ReturnType<typeof startPlatform>>;
 
 /**
-Writes a version that has one more route and one more key, and allows twice the headers and bodies.
+Writes a version with an additional route and key, and twice the limits for headers and bodies.
 */
 function publishNewer({store, configuration}: Platform): void {
 	const [first] = configuration.routes;
@@ -21,7 +21,7 @@
 }
 
 /**
-Turns the node away from the store, and waits until its open watch has ended too.
+Makes the store refuse the node, and waits until its open watch has ended too.
 */
 async function loseStore({store, addresses}: Platform): Promise<void> {
 	store.setFault('refuse');
@@ -40,7 +40,7 @@
 ];
 
 for (const [what, path, options] of newerOnly) {
-	test(`a node that the store turns away does not deny ${what} that a newer configuration may allow`, async t => {
+	test(`a node that the store refuses does not reject ${what} that a newer configuration may allow`, async t => {
 		const platform = await startPlatform(t);
 		await platform.open();
 		await loseStore(platform);
@@ -51,18 +51,18 @@
 			return answer.status === 503;
 		});
 		t.ok(Number(answer.headers['retry-after']) > 0);
-		t.equal((await platform.call('/safe/x')).status, 200, 'what it knows it serves on');
+		t.equal((await platform.call('/safe/x')).status, 200, 'requests that its own configuration allows are still served');
 		platform.store.setFault(undefined);
 		await waitUntil(async () => (await platform.call(path, options)).status === 200);
-		// In calm it denies what no configuration allows.
+		// Once it is up to date, it rejects requests that no configuration allows.
 		await waitUntil(async () => (await platform.call('/never/x')).status === 404);
 	});
 }
 
-test('a node that knows a peer to be ahead denies nothing until it has caught up, however fresh that peer is', async t => {
+test('a node with a peer ahead of it rejects nothing until it has caught up', async t => {
 	const platform = await startPlatform(t);
 	await platform.open();
-	let asked = 0;
+	let stateCalls = 0;
 	const peer = createPeerNetwork({
 		node: 'z1', host: '127.0.0.1', port: 0, token: 'secret', findAddress: () => undefined, silenceMs: 10_000, isCompressed: false, metrics: createMetrics(),
 	});
@@ -71,9 +71,9 @@
 		'load.news': ignore,
 		'cluster.heartbeat': ignore,
 		'cluster.changes': ignore,
-		// Its state is on the way for as long as the test lasts.
+		// Leaves the call unanswered during the test.
 		async 'cluster.state'() {
-			asked++;
+			stateCalls++;
 			return new Promise(ignore);
 		},
 	});
@@ -87,7 +87,7 @@
 	platform.store.put('gateway/nodes/z1', {
 		id: 'z1', address, token: 'secret', dataCentre: 'a', capacity: 1,
 	});
-	await waitUntil(() => asked > 0);
+	await waitUntil(() => stateCalls > 0);
 	await loseStore(platform);
 	publishNewer(platform);
 	await waitUntil(async () => (await platform.call('/new/x')).status === 503);
@@ -95,7 +95,7 @@
 	t.equal((await platform.call('/safe/x')).status, 200);
 });
 
-test('a newer configuration that cannot be read denies nobody, for what it allows is not known', async t => {
+test('a node with an unreadable newer configuration rejects no request that it may allow', async t => {
 	const platform = await startPlatform(t);
 	await platform.open();
 	const [first] = platform.configuration.routes;
--- a/node/gateway/test/start-platform.ts
+++ b/node/gateway/test/start-platform.ts
@@ -17,7 +17,7 @@
 };
 
 /**
-Configuration of the tests' platform: a route of every kind.
+Configuration with a route of each kind.
 */
 const configuration = {
 	version: 1,
@@ -47,21 +47,21 @@
 };
 
 /**
- Starts a gateway between a stand-in store and two stand-in endpoints. The endpoints answer the requests that arrive, on
- whichever of them, by the given behaviours in turn; the last one stays.
+ Starts a gateway with a fake store and two fake endpoints. The requests that arrive at either endpoint are answered by the given
+ behaviours in order; the last one repeats.
 
  @example
  const platform = await startPlatform(t, ['reset', 'whole']);
  const answer = await platform.call('/safe/x');
  */
-export async function startPlatform(t: Test, turns: ReadonlyArray<keyof typeof behaviours> = ['whole'], moreSettings = '') {
+export async function startPlatform(t: Test, sequence: ReadonlyArray<keyof typeof behaviours> = ['whole'], moreSettings = '') {
 	const store = await startFakeFleetStore();
 	const endpoints = [await startFakeEndpoint(), await startFakeEndpoint()];
 	const arrived: ArrivedRequest[] = [];
-	const answerInTurn: EndpointBehaviour = (arrivedRequest, socket) => {
-		const turn = turns[Math.min(arrived.length, turns.length - 1)] ?? 'whole';
+	const answerInOrder: EndpointBehaviour = (arrivedRequest, socket) => {
+		const behaviour = sequence[Math.min(arrived.length, sequence.length - 1)] ?? 'whole';
 		arrived.push(arrivedRequest);
-		behaviours[turn](arrivedRequest, socket);
+		behaviours[behaviour](arrivedRequest, socket);
 	};
 
 	const gateway = createGateway({
@@ -107,7 +107,7 @@
 	}
 
 	/**
-	Calls the gateway as a client account; the body of an answer that breaks off ends with `(broken)`.
+	Calls the gateway with a client account's key; the text of an answer that breaks off ends with `(broken)`.
 	*/
 	async function call(path: string, {key = 'key', body, headers = {}, signal}: CallOptions = {}) {
 		const response = await request(`http://${addresses.callers}${path}`, {
@@ -133,7 +133,7 @@
 
 	async function open(): Promise<void> {
 		for (const [index, endpoint] of endpoints.entries()) {
-			endpoint.setBehaviour(answerInTurn);
+			endpoint.setBehaviour(answerInOrder);
 			store.registerEndpoint(`i-${index}`, {
 				pool: 'register', address: endpoint.address, slots: 4, state: 'ready',
 			});
--- a/node/gateway/test/usage-sync.test.ts
+++ b/node/gateway/test/usage-sync.test.ts
@@ -21,10 +21,9 @@
 }
 
 /**
-A relay took over the duties that had only just become a candidate: it had been told nothing of before, and reported a window
-with 214 of 1,564 requests.
+Guards against usage reports that lack requests, by a new candidate that acquires the duties.
 */
-test('a node that becomes a candidate is told all that is known, not only what is new', t => {
+test('a new candidate is sent all rows, not only changed ones', t => {
 	const {usage, sent, followers} = createRelay();
 	usage.count('sawmill', 0);
 	usage.send();
@@ -40,7 +39,7 @@
 	t.end();
 });
 
-test('what a relay tells is not passed on, and what is known already is not told again', t => {
+test('rows of a relay are not forwarded, and unchanged rows are not sent again', t => {
 	const {usage, sent} = createRelay();
 	usage.apply({rows: [['n9', 10, 'depot', 3]]}, 'r1');
 	usage.send();
