--- /dev/null
+++ b/node/gateway/src/format-load-update.ts
@@ -0,0 +1,30 @@
+import type {OriginLoadUpdate} from '@valvesaddle/news';
+import type {LoadUpdateMessage} from './load-update-message.ts';
+
+/**
+Steps per unit to which sensitivities are rounded; they are sums of fractions.
+*/
+const stepsPerUnit = 100;
+
+/**
+ Formats a load update as rows without field names, in whole tokens and milliseconds.
+
+ @example
+ formatLoadUpdate({origin: 'n1', nodes: 1, loads: [['i-7f', {...noLoad, open: 2}]], placements: []}).loads; // [['i-7f', 2, [], 0, 0, 0, 0, 0]]
+ */
+export function formatLoadUpdate({nodes, loads, placements}: OriginLoadUpdate): LoadUpdateMessage {
+	return {
+		nodes,
+		loads: loads.map(([endpoint, {open, pendingPrefill: pendingPrefill, sensitivity, observers: observers, stalledObservers: stalledObservers, prefilledTokens: prefilledTokens, prefillMs: prefillMs}]) => [
+			endpoint,
+			open,
+			pendingPrefill.map(tokens => Math.round(tokens)),
+			Math.round(sensitivity * stepsPerUnit) / stepsPerUnit,
+			observers,
+			stalledObservers,
+			Math.round(prefilledTokens),
+			Math.round(prefillMs),
+		]),
+		placements: placements.map(({endpoint, pool, parts, tokens}) => [endpoint, pool, [...parts], tokens]),
+	};
+}
--- /dev/null
+++ b/node/gateway/src/parse-load-update.ts
@@ -0,0 +1,70 @@
+import {ValvesaddleError} from '@valvesaddle/error';
+import type {OriginLoadUpdate} from '@valvesaddle/news';
+import type {EndpointLoad, Placement} from '@valvesaddle/selection';
+
+/**
+Maximum number of request ranks at an engine.
+*/
+const maximumRanks = 64;
+const loadFields = 8;
+const placementFields = 4;
+
+/**
+ Parses a load update from the rows that `formatLoadUpdate` writes. It checks and decodes them in one pass rather than by a schema,
+ since a busy node receives many updates a second.
+
+ @throws `ERR_VALVESADDLE_MESSAGE_INVALID` for a malformed update.
+ @example
+ parseLoadUpdate({nodes: 1, loads: [['i-7f', 2, [], 0, 0, 0, 0, 0]], placements: []}).loads[0]?.[1].open; // 2
+ */
+export function parseLoadUpdate(message: unknown): Omit<OriginLoadUpdate, 'origin'> {
+	const {nodes, loads, placements} = message as Readonly<Record<string, unknown>>;
+	if (!(isAmount(nodes) && Number.isSafeInteger(nodes) && Array.isArray(loads) && Array.isArray(placements))) {
+		throw new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', 'load update without valid nodes, loads or placements');
+	}
+
+	return {nodes, loads: loads.map(row => parseLoad(row)), placements: placements.map(row => parsePlacement(row))};
+}
+
+function parseLoad(row: unknown): readonly [string, EndpointLoad] {
+	const [endpoint, open, pendingPrefill, sensitivity, observers, stalledObservers, prefilledTokens, prefillMs] = parseRow(row, loadFields);
+	if (typeof endpoint === 'string' && isAmount(open) && isPendingPrefill(pendingPrefill) && isAmount(sensitivity)
+		&& isAmount(observers) && isAmount(stalledObservers) && isAmount(prefilledTokens) && isAmount(prefillMs)) {
+		return [endpoint, {
+			open, pendingPrefill: pendingPrefill, sensitivity, observers: observers, stalledObservers: stalledObservers, prefilledTokens: prefilledTokens, prefillMs: prefillMs,
+		}];
+	}
+
+	throw new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', 'load row must consist of an endpoint name and non-negative numbers');
+}
+
+function parsePlacement(row: unknown): Placement {
+	const [endpoint, pool, parts, tokens] = parseRow(row, placementFields);
+	if (typeof endpoint === 'string' && typeof pool === 'string' && isNames(parts) && isAmount(tokens)) {
+		return {
+			endpoint, pool, parts, tokens,
+		};
+	}
+
+	throw new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', 'placement row must consist of names and a non-negative number');
+}
+
+function parseRow(row: unknown, fields: number): readonly unknown[] {
+	if (Array.isArray(row) && row.length === fields) {
+		return row as readonly unknown[];
+	}
+
+	throw new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', `row must be an array of ${fields} fields`);
+}
+
+function isAmount(value: unknown): value is number {
+	return typeof value === 'number' && Number.isFinite(value) && value >= 0;
+}
+
+function isPendingPrefill(value: unknown): value is readonly number[] {
+	return Array.isArray(value) && value.length <= maximumRanks && value.every(tokens => isAmount(tokens));
+}
+
+function isNames(value: unknown): value is readonly string[] {
+	return Array.isArray(value) && value.every(name => typeof name === 'string');
+}
--- a/node/gateway/src/state-question-schema.ts
+++ /dev/null
@@ -1,6 +0,0 @@
-import * as z from 'zod';
-
-/**
-Form of a question for a peer's state: all of it, or what is newer than a revision.
-*/
-export const stateQuestionSchema = z.object({since: z.int().optional()});
