--- a/gateway/forwarding/test/decisions.test.ts
+++ b/gateway/forwarding/test/decisions.test.ts
@@ -99,7 +99,7 @@
 test('a retry after a failed endpoint keeps its urgency; a late request that was not sent yet is refused', t => {
 	const options = {
 		waits: createWaitBaselines(),
-		admission: {lateFactor: 1.3, waitFactor: 0.5, returnFactor: 1.5},
+		admission: {lateFactor: 1.3, waitFactor: 0.5, retryAfterFactor: 1.5},
 		logger: createLogger({node: 'n', level: 'silent'}),
 		metrics: createMetrics(),
 	};
--- a/node/gateway/src/create-load-sync.ts
+++ b/node/gateway/src/create-load-sync.ts
@@ -13,7 +13,7 @@
 	readonly node: string;
 	readonly network: Pick<PeerNetwork, 'isReady' | 'notify'>;
 	readonly links: Pick<LinkPlan, 'isRelay' | 'listRelays' | 'listMembers'>;
-	readonly selector: Pick<Selector, 'takeNews' | 'applyNews' | 'setUnseenFactor' | 'removeNode'>;
+	readonly selector: Pick<Selector, 'takeLoadUpdate' | 'applyLoadUpdate' | 'setUnseenFactor' | 'removeNode'>;
 	/**
 	Number of known nodes in the fleet.
 	*/
--- a/node/gateway/src/duty-task-options.ts
+++ b/node/gateway/src/duty-task-options.ts
@@ -20,7 +20,7 @@
 	*/
 	readonly store: {readonly address: string; readonly timeoutMs: number};
 	readonly view: ClusterView;
-	readonly selector: Pick<Selector, 'measureWork'>;
+	readonly selector: Pick<Selector, 'measurePoolLoad'>;
 	readonly sync: Pick<PeerSync, 'isFollower' | 'usage'>;
 	/**
 	Converts a time on the monotonic clock to Unix milliseconds.
