--- a/duties/lease/src/create-duty-lease.ts
+++ b/duties/lease/src/create-duty-lease.ts
@@ -60,7 +60,7 @@
 		});
 		held = undefined;
 		// The next holder may have acted already: a third change within its time would look as if two acted by turns.
-		asideUntil = performance.now() + options.standAsideMs;
+		asideUntil = performance.now() + options.reacquireDelayMs;
 	}
 
 	function recordFailure(step: string, error: unknown): void {
--- a/duties/lease/src/duty-lease-options.ts
+++ b/duties/lease/src/duty-lease-options.ts
@@ -19,7 +19,7 @@
 	/**
 	How long a node that held the duty leaves it to others.
 	*/
-	readonly standAsideMs: number;
+	readonly reacquireDelayMs: number;
 	readonly logger: Logger;
 	readonly metrics: Metrics;
 };
--- a/duties/lease/test/duty-lease.test.ts
+++ b/duties/lease/test/duty-lease.test.ts
@@ -44,7 +44,7 @@
 
 function startLease(t: Test, store: DutyStore, holder = 'n1.a') {
 	return createDutyLease({
-		store, key: 'holder', holder, leaseMs: 2000, standAsideMs: 4000, logger: createLogger({node: holder, level: 'silent'}), metrics: createMetrics(),
+		store, key: 'holder', holder, leaseMs: 2000, reacquireDelayMs: 4000, logger: createLogger({node: holder, level: 'silent'}), metrics: createMetrics(),
 	});
 }
 
--- a/duties/scaling/src/create-need-estimator.ts
+++ b/duties/scaling/src/create-need-estimator.ts
@@ -1,12 +1,12 @@
 import type {NeedEstimator} from './need-estimator.ts';
 import type {Need} from './need.ts';
-import type {PoolWork} from './pool-work.ts';
+import type {PoolLoad} from './pool-load.ts';
 
 type NeedOptions = {
 	/**
 	Fewest replicas that are asked for, whatever the work.
 	*/
-	readonly least: number;
+	readonly minimumReplicas: number;
 };
 
 /**
@@ -34,14 +34,14 @@
  few seconds before requests pile up.
 
  @example
- const needs = createNeedEstimator({least: 8});
+ const needs = createNeedEstimator({minimumReplicas: 8});
  needs.update({open: 60, placedTokens: 0, tokensPerMs: 50, slots: 12}).count; // 12
  */
-export function createNeedEstimator({least}: NeedOptions): NeedEstimator {
+export function createNeedEstimator({minimumReplicas: least}: NeedOptions): NeedEstimator {
 	let placed: readonly Sample[] = [];
 	let peaks: ReadonlyArray<Sample & {readonly reason: Need['reason']}> = [];
 
-	function measureRate({placedTokens}: PoolWork, now: number): number {
+	function measureRate({placedTokens}: PoolLoad, now: number): number {
 		placed = [...placed.filter(({at}) => now - at <= rateMs), {at: now, value: placedTokens}];
 		const [first] = placed;
 		const elapsedMs = first === undefined ? 0 : now - first.at;
--- a/duties/scaling/src/create-order-book.ts
+++ b/duties/scaling/src/create-order-planner.ts
@@ -1,6 +1,6 @@
 import type {ReplicaOrder} from '@valvesaddle/duty-types';
-import type {OrderBook} from './order-book.ts';
-import type {OrderQuestion} from './order-question.ts';
+import type {OrderPlanner} from './order-planner.ts';
+import type {OrderInput} from './order-input.ts';
 import {planReplicas} from './plan-replicas.ts';
 import type {ReplicaCount} from './replica-count.ts';
 import type {ReplicaPlan} from './replica-plan.ts';
@@ -26,11 +26,11 @@
  const book = createOrderBook();
  const [order] = book.list({pool: 'drafting', scaling, count: 40, needed: 12, ready});
  */
-export function createOrderBook(): OrderBook {
+export function createOrderPlanner(): OrderPlanner {
 	const ordered = new Map<string, Ordered>();
 	const noneUntil = new Map<string, number>();
 
-	function listWithoutSpot({ready}: OrderQuestion): ReadonlyMap<string, number> {
+	function listWithoutSpot({ready}: OrderInput): ReadonlyMap<string, number> {
 		const now = performance.now();
 		const places = noneUntil.entries().filter(([, until]) => now < until).map(([dataCentre]) => dataCentre);
 		return new Map(places.map(place => [place, getReady(ready, place, true)]));
@@ -46,7 +46,7 @@
 		return before?.count !== count || (ready !== count && now - before.at > bootMs + listedMs);
 	}
 
-	function listOrders({dataCentre, usual, spot}: ReplicaPlan, question: OrderQuestion, surplus: number, withoutSpot: ReadonlyMap<string, number>): readonly ReplicaOrder[] {
+	function listOrders({dataCentre, onDemand: usual, spot}: ReplicaPlan, question: OrderInput, surplus: number, withoutSpot: ReadonlyMap<string, number>): readonly ReplicaOrder[] {
 		const {pool, ready, scaling} = question;
 		const usualReady = getReady(ready, dataCentre, false);
 		// What still serves of the usual ones takes places of the limit for both.
@@ -69,13 +69,13 @@
 			const {scaling, count, needed, ready} = question;
 			const withoutSpot = listWithoutSpot(question);
 			const plan = planReplicas({
-				count, needed, scaling, withoutSpot,
+				count, needed, scaling, spotLimits: withoutSpot,
 			});
 			let surplus = ready.reduce((sum, one) => sum + one.count, 0) - count;
 			return plan.flatMap(place => {
 				const orders = listOrders(place, question, surplus, withoutSpot);
 				const usualReady = getReady(ready, place.dataCentre, false);
-				surplus -= Math.max(0, Math.min(surplus, usualReady - place.usual));
+				surplus -= Math.max(0, Math.min(surplus, usualReady - place.onDemand));
 				return orders;
 			});
 		},
@@ -85,7 +85,7 @@
 		markUnknown(order) {
 			ordered.delete(toKey(order));
 		},
-		markNone(order) {
+		markUnavailable(order) {
 			if (order.isSpot) {
 				noneUntil.set(order.dataCentre, performance.now() + withoutSpotMs);
 			}
--- a/duties/scaling/src/create-scaler.ts
+++ b/duties/scaling/src/create-scaler.ts
@@ -1,9 +1,9 @@
 import type {DutyAnswer, ReplicaOrder} from '@valvesaddle/duty-types';
 import type {PoolScaling, ServicePool} from '@valvesaddle/gateway-types';
 import {createNeedEstimator} from './create-need-estimator.ts';
-import {createOrderBook} from './create-order-book.ts';
+import {createOrderPlanner} from './create-order-planner.ts';
 import type {NeedEstimator} from './need-estimator.ts';
-import type {OrderBook} from './order-book.ts';
+import type {OrderPlanner} from './order-planner.ts';
 import type {Scaler} from './scaler.ts';
 import type {ScalerOptions} from './scaler-options.ts';
 
@@ -14,7 +14,7 @@
 
 type PoolState = {
 	readonly needs: NeedEstimator;
-	readonly orders: OrderBook;
+	readonly orders: OrderPlanner;
 	wanted: number;
 	needed: number;
 };
@@ -34,14 +34,14 @@
 
 	function getState(pool: string, scaling: PoolScaling): PoolState {
 		const state = pools.get(pool) ?? {
-			needs: createNeedEstimator({least: Math.ceil(countMost(scaling) * options.leastShare)}), orders: createOrderBook(), wanted: 0, needed: 0,
+			needs: createNeedEstimator({minimumReplicas: Math.ceil(countMost(scaling) * options.minimumShare)}), orders: createOrderPlanner(), wanted: 0, needed: 0,
 		};
 		pools.set(pool, state);
 		return state;
 	}
 
 	function updateWanted(pool: string, scaling: PoolScaling, state: PoolState): void {
-		const work = options.measureWork(pool);
+		const work = options.measurePoolLoad(pool);
 		const {count, needed, tokensPerS, reason} = state.needs.update(work);
 		state.needed = needed;
 		const wanted = Math.min(countMost(scaling), Math.ceil(count / stepReplicas) * stepReplicas);
@@ -55,13 +55,13 @@
 		});
 	}
 
-	const settlers: Readonly<Record<DutyAnswer, (order: ReplicaOrder, orders: OrderBook) => Promise<void>>> = {
+	const settlers: Readonly<Record<DutyAnswer, (order: ReplicaOrder, orders: OrderPlanner) => Promise<void>>> = {
 		async accepted(order, orders) {
 			orders.markAccepted(order);
 		},
 		async refused(order, orders) {
 			if (await options.confirm()) {
-				orders.markNone(order);
+				orders.markUnavailable(order);
 			}
 		},
 		async busy() {
@@ -77,7 +77,7 @@
 		},
 	};
 
-	async function sendOrder(order: ReplicaOrder, orders: OrderBook): Promise<void> {
+	async function sendOrder(order: ReplicaOrder, orders: OrderPlanner): Promise<void> {
 		isUncertain &&= await options.raiseToken() === undefined;
 
 		const proof = options.getProof();
@@ -115,7 +115,7 @@
 				await updatePool(pool);
 			}
 		},
-		begin() {
+		start() {
 			pools.clear();
 			isUncertain = false;
 		},
--- a/duties/scaling/src/index.ts
+++ b/duties/scaling/src/index.ts
@@ -1,12 +1,12 @@
 export {createNeedEstimator} from './create-need-estimator.ts';
-export {createOrderBook} from './create-order-book.ts';
+export {createOrderPlanner} from './create-order-planner.ts';
 export {createScaler} from './create-scaler.ts';
 export {planReplicas} from './plan-replicas.ts';
 export type {NeedEstimator} from './need-estimator.ts';
 export type {Need} from './need.ts';
-export type {OrderBook} from './order-book.ts';
-export type {OrderQuestion} from './order-question.ts';
-export type {PoolWork} from './pool-work.ts';
+export type {OrderPlanner} from './order-planner.ts';
+export type {OrderInput} from './order-input.ts';
+export type {PoolLoad} from './pool-load.ts';
 export type {ReplicaCount} from './replica-count.ts';
 export type {ReplicaPlan} from './replica-plan.ts';
 export type {Scaler} from './scaler.ts';
--- a/duties/scaling/src/need-estimator.ts
+++ b/duties/scaling/src/need-estimator.ts
@@ -1,9 +1,9 @@
 import type {Need} from './need.ts';
-import type {PoolWork} from './pool-work.ts';
+import type {PoolLoad} from './pool-load.ts';
 
 /**
 Estimates how many replicas a pool needs.
 */
 export type NeedEstimator = {
-	readonly update: (work: PoolWork) => Need;
+	readonly update: (work: PoolLoad) => Need;
 };
--- a/duties/scaling/src/order-question.ts
+++ b/duties/scaling/src/order-input.ts
@@ -4,7 +4,7 @@
 /**
 What orders are decided by.
 */
-export type OrderQuestion = {
+export type OrderInput = {
 	readonly pool: string;
 	readonly scaling: PoolScaling;
 	/**
--- a/duties/scaling/src/order-book.ts
+++ b/duties/scaling/src/order-planner.ts
@@ -1,14 +1,14 @@
 import type {ReplicaOrder} from '@valvesaddle/duty-types';
-import type {OrderQuestion} from './order-question.ts';
+import type {OrderInput} from './order-input.ts';
 
 /**
 What was ordered of a pool, and what has to be ordered next.
 */
-export type OrderBook = {
+export type OrderPlanner = {
 	/**
 	Orders that bring what serves to the wanted number; those that bring more come first.
 	*/
-	readonly list: (question: OrderQuestion) => readonly ReplicaOrder[];
+	readonly list: (question: OrderInput) => readonly ReplicaOrder[];
 	/**
 	Notes that an order was accepted.
 	*/
@@ -20,5 +20,5 @@
 	/**
 	Notes that a data centre has no replicas of the kind at the moment.
 	*/
-	readonly markNone: (order: ReplicaOrder) => void;
+	readonly markUnavailable: (order: ReplicaOrder) => void;
 };
--- a/duties/scaling/src/plan-replicas.ts
+++ b/duties/scaling/src/plan-replicas.ts
@@ -1,7 +1,7 @@
 import type {PoolScaling} from '@valvesaddle/gateway-types';
 import type {ReplicaPlan} from './replica-plan.ts';
 
-type PlanQuestion = {
+type PlanInput = {
 	/**
 	Replicas of both kinds that are wanted; so many are left when any one data centre loses its spot replicas.
 	*/
@@ -14,7 +14,7 @@
 	/**
 	Data centres that have no more spot replicas at the moment, and how many serve there.
 	*/
-	readonly withoutSpot: ReadonlyMap<string, number>;
+	readonly spotLimits: ReadonlyMap<string, number>;
 };
 
 type Place = {
@@ -30,9 +30,9 @@
  the work needs now.
 
  @example
- planReplicas({count: 8, needed: 2, scaling, withoutSpot: new Map()}); // [{dataCentre: 'a', usual: 1, spot: 6}, {dataCentre: 'b', usual: 1, spot: 6}]
+ planReplicas({count: 8, needed: 2, scaling, withoutSpot: new Map()}); // [{dataCentre: 'a', onDemand: 1, spot: 6}, {dataCentre: 'b', onDemand: 1, spot: 6}]
  */
-export function planReplicas({count, needed, scaling, withoutSpot}: PlanQuestion): readonly ReplicaPlan[] {
+export function planReplicas({count, needed, scaling, spotLimits: withoutSpot}: PlanInput): readonly ReplicaPlan[] {
 	const {least, most, spotPrice} = scaling;
 	const places = Object.entries(scaling.prices).map(([dataCentre, price]): Place => ({dataCentre, price, most: most - least}));
 	const wanted = Math.max(0, count - (places.length * least));
@@ -41,7 +41,7 @@
 	const spot = planSpread(spotPlaces, wanted + measureSpare(places.length, wanted));
 	const missing = Math.min(count, needed) - (places.length * least) - countAll(spot);
 	const usual = planSpread(places.map((place, index) => ({...place, most: place.most - (spot[index] ?? 0)})), missing);
-	return places.map(({dataCentre}, index) => ({dataCentre, usual: least + (usual[index] ?? 0), spot: spot[index] ?? 0}));
+	return places.map(({dataCentre}, index) => ({dataCentre, onDemand: least + (usual[index] ?? 0), spot: spot[index] ?? 0}));
 }
 
 /**
--- a/duties/scaling/src/pool-work.ts
+++ b/duties/scaling/src/pool-load.ts
@@ -1,7 +1,7 @@
 /**
 Work of a pool at a moment.
 */
-export type PoolWork = {
+export type PoolLoad = {
 	/**
 	Requests that are open at its replicas.
 	*/
--- a/duties/scaling/src/replica-plan.ts
+++ b/duties/scaling/src/replica-plan.ts
@@ -3,6 +3,6 @@
 */
 export type ReplicaPlan = {
 	readonly dataCentre: string;
-	readonly usual: number;
+	readonly onDemand: number;
 	readonly spot: number;
 };
--- a/duties/scaling/src/scaler-options.ts
+++ b/duties/scaling/src/scaler-options.ts
@@ -2,7 +2,7 @@
 import type {ServicePool} from '@valvesaddle/gateway-types';
 import type {Logger} from '@valvesaddle/logger';
 import type {Metrics} from '@valvesaddle/metrics';
-import type {PoolWork} from './pool-work.ts';
+import type {PoolLoad} from './pool-load.ts';
 import type {ReplicaCount} from './replica-count.ts';
 
 /**
@@ -24,11 +24,11 @@
 	Replicas of a pool that serve.
 	*/
 	readonly countReady: (pool: string) => readonly ReplicaCount[];
-	readonly measureWork: (pool: string) => PoolWork;
+	readonly measurePoolLoad: (pool: string) => PoolLoad;
 	/**
 	Fewest replicas, as a part of the most that are allowed.
 	*/
-	readonly leastShare: number;
+	readonly minimumShare: number;
 	readonly logger: Logger;
 	readonly metrics: Metrics;
 };
--- a/duties/scaling/src/scaler.ts
+++ b/duties/scaling/src/scaler.ts
@@ -9,5 +9,5 @@
 	/**
 	Begins anew: another node held the duty before.
 	*/
-	readonly begin: () => void;
+	readonly start: () => void;
 };
--- a/duties/scaling/test/need-and-orders.test.ts
+++ b/duties/scaling/test/need-and-orders.test.ts
@@ -1,6 +1,6 @@
 import {Clock} from 'clock-mock';
 import {test} from 'tap';
-import {createNeedEstimator, createOrderBook, type ReplicaCount} from '@valvesaddle/duty-scaling';
+import {createNeedEstimator, createOrderPlanner, type ReplicaCount} from '@valvesaddle/duty-scaling';
 
 const scaling = {
 	least: 1, most: 20, bootMs: 4000, spotPrice: 0.2, prices: {a: 1, b: 1},
@@ -13,7 +13,7 @@
 test('reading that is asked for raises the need before requests pile up, and it falls only after a while', t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
-	const needs = createNeedEstimator({least: 8});
+	const needs = createNeedEstimator({minimumReplicas: 8});
 	const calm = {
 		open: 10, placedTokens: 0, tokensPerMs: 50, slots: 12,
 	};
@@ -32,7 +32,7 @@
 test('usual replicas go only when what is wanted serves without them', t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
-	const book = createOrderBook();
+	const book = createOrderPlanner();
 	const question = {
 		pool: 'p', scaling, count: 20, needed: 10,
 	};
@@ -51,14 +51,14 @@
 test('a data centre without spot replicas is asked again after a while, and the others run more meanwhile', t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
-	const book = createOrderBook();
+	const book = createOrderPlanner();
 	const question = {
 		pool: 'p', scaling, count: 20, needed: 10, ready: toReady(1, 0),
 	};
 	const [order] = book.list(question);
 	t.match(order, {dataCentre: 'a', isSpot: true, count: 18});
 	if (order !== undefined) {
-		book.markNone(order);
+		book.markUnavailable(order);
 	}
 
 	t.match(book.list(question).find(({dataCentre, isSpot}) => dataCentre === 'b' && isSpot), {count: 19});
@@ -70,7 +70,7 @@
 test('replicas that were reclaimed are ordered again, not before they could have come', t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
-	const book = createOrderBook();
+	const book = createOrderPlanner();
 	const question = {
 		pool: 'p', scaling, count: 20, needed: 10, ready: toReady(1, 0),
 	};
--- a/duties/usage/src/create-usage-book.ts
+++ b/duties/usage/src/create-usage-counters.ts
@@ -1,4 +1,4 @@
-import type {UsageBook} from './usage-book.ts';
+import type {UsageCounters} from './usage-counters.ts';
 import type {UsageRow} from './usage-row.ts';
 
 /**
@@ -10,7 +10,7 @@
  book.count(353445120, 'sawmill');
  book.sum(353445120); // {sawmill: 1}
  */
-export function createUsageBook(self: string): UsageBook {
+export function createUsageCounters(self: string): UsageCounters {
 	/**
 	Counts by window, account and origin.
 	*/
--- a/duties/usage/src/create-usage-reporter.ts
+++ b/duties/usage/src/create-usage-reporter.ts
@@ -22,7 +22,7 @@
  await reporter.update(Date.now());
  */
 export function createUsageReporter(options: UsageReporterOptions): UsageReporter {
-	const {book, store, platform, windowMs, logger, metrics} = options;
+	const {counters: book, store, platform, windowMs, logger, metrics} = options;
 	let next: number | undefined;
 
 	/**
@@ -95,7 +95,7 @@
 				next++;
 			}
 		},
-		begin(now) {
+		start(now) {
 			next = findLast(now) - windowsBefore;
 		},
 	};
--- a/duties/usage/src/usage-book.ts
+++ b/duties/usage/src/usage-counters.ts
@@ -3,7 +3,7 @@
 /**
 What a node knows of the requests that began to run, by window, client account and the process that counted them.
 */
-export type UsageBook = {
+export type UsageCounters = {
 	/**
 	Counts a request of this process; returns its row.
 	*/
--- a/duties/usage/src/usage-reporter-options.ts
+++ b/duties/usage/src/usage-reporter-options.ts
@@ -1,13 +1,13 @@
 import type {DutyPlatform, DutyProof, DutyStore} from '@valvesaddle/duty-types';
 import type {Logger} from '@valvesaddle/logger';
 import type {Metrics} from '@valvesaddle/metrics';
-import type {UsageBook} from './usage-book.ts';
+import type {UsageCounters} from './usage-counters.ts';
 
 /**
 Options of `createUsageReporter`. All times are in milliseconds.
 */
 export type UsageReporterOptions = {
-	readonly book: Pick<UsageBook, 'sum'>;
+	readonly counters: Pick<UsageCounters, 'sum'>;
 	readonly store: Pick<DutyStore, 'read' | 'write'>;
 	readonly platform: Pick<DutyPlatform, 'reportUsage'>;
 	/**
--- a/duties/usage/src/usage-reporter.ts
+++ b/duties/usage/src/usage-reporter.ts
@@ -9,5 +9,5 @@
 	/**
 	Begins anew with the windows that may not have been sent: another node held the duty before.
 	*/
-	readonly begin: (now: number) => void;
+	readonly start: (now: number) => void;
 };
--- a/duties/usage/test/usage.test.ts
+++ b/duties/usage/test/usage.test.ts
@@ -12,15 +12,15 @@
 import {ValvesaddleError} from '@valvesaddle/error';
 import {createLogger} from '@valvesaddle/logger';
 import {createMetrics} from '@valvesaddle/metrics';
-import {createUsageBook, createUsageReporter} from '@valvesaddle/duty-usage';
+import {createUsageCounters, createUsageReporter} from '@valvesaddle/duty-usage';
 
 test('rows may come in any order, by several ways and more than once', t => {
 	const row = tuple(constantFrom('n1', 'n2', 'n3'), integer({min: 1, max: 3}), constantFrom('sawmill', 'depot'), integer({min: 1, max: 9}));
 	assert(property(array(row), array(row), (first, second) => {
-		const book = createUsageBook('n9');
+		const book = createUsageCounters('n9');
 		book.merge(first);
 		book.merge(second);
-		const other = createUsageBook('n9');
+		const other = createUsageCounters('n9');
 		other.merge([...second, ...first, ...second]);
 		t.same(other.sum(1), book.sum(1));
 		t.same(other.sum(2), book.sum(2));
@@ -29,7 +29,7 @@
 });
 
 test('a process that has started anew adds to what was counted before it', t => {
-	const book = createUsageBook('n1.second');
+	const book = createUsageCounters('n1.second');
 	book.merge([['n1.first', 7, 'sawmill', 5]]);
 	book.count(7, 'sawmill');
 	t.same(book.sum(7), {sawmill: 6});
@@ -41,7 +41,7 @@
 function createFixture(answers: readonly DutyAnswer[], stored = new Map<string, string>()) {
 	const sent: UsageReport[] = [];
 	const reporter = createUsageReporter({
-		book: {sum: window => ({sawmill: window})},
+		counters: {sum: window => ({sawmill: window})},
 		store: {
 			write({key, text}) {
 				if (stored.has(key)) {
@@ -71,7 +71,7 @@
 
 test('a window is sent once it has settled, the oldest first, and again until it is accepted', async t => {
 	const {reporter, sent} = createFixture(['busy', 'unknown', 'accepted']);
-	reporter.begin(51_400);
+	reporter.start(51_400);
 	for (let step = 0; step < 8; step++) {
 		// eslint-disable-next-line no-await-in-loop -- one step after the other
 		await reporter.update(56_400);
@@ -82,7 +82,7 @@
 
 test('what stands in the store is sent, whatever this node has counted, and what cannot be read is left out', async t => {
 	const {reporter, sent} = createFixture(['accepted'], new Map([['usage/9', '{"sawmill":812}'], ['usage/8', 'no counts']]));
-	reporter.begin(51_400);
+	reporter.start(51_400);
 	await reporter.update(51_500);
 	t.same(sent.find(({window}) => window === 9)?.counts, {sawmill: 812});
 	t.same(sent.map(({window}) => window), [4, 5, 6, 7, 9]);
@@ -92,7 +92,7 @@
 	const sent: UsageReport[] = [];
 	const lost = () => errAsync(new ValvesaddleError('ERR_VALVESADDLE_KV_UNAVAILABLE', 'down'));
 	const reporter = createUsageReporter({
-		book: {sum: () => ({})},
+		counters: {sum: () => ({})},
 		store: {write: lost, read: lost},
 		platform: {
 			async reportUsage(report) {
--- a/emulator/duties/src/check-duties.ts
+++ b/emulator/duties/src/check-duties.ts
@@ -1,13 +1,13 @@
 import type {ReplicaCount} from '@valvesaddle/duty-scaling';
 import type {PoolScaling} from '@valvesaddle/gateway-types';
 import type {DutyCall} from './duty-call.ts';
-import type {FaultBook} from './fault-book.ts';
+import type {FaultSchedule} from './fault-schedule.ts';
 
-type DutyFacts = {
+type DutyTrace = {
 	readonly calls: readonly DutyCall[];
 	readonly reports: ReadonlyMap<number, ReadonlySet<string>>;
 	readonly replicas: readonly ReplicaCount[];
-	readonly faults: FaultBook;
+	readonly faults: FaultSchedule;
 	readonly scaling: PoolScaling;
 	readonly endMs: number;
 	readonly windowMs: number;
@@ -35,7 +35,7 @@
  @example
  checkDuties(facts); // [] when all was kept
  */
-export function checkDuties(facts: DutyFacts): readonly string[] {
+export function checkDuties(facts: DutyTrace): readonly string[] {
 	return [
 		...checkTokens(facts),
 		...checkTurns(facts),
@@ -45,9 +45,9 @@
 	];
 }
 
-function checkTokens({calls}: DutyFacts): readonly string[] {
+function checkTokens({calls}: DutyTrace): readonly string[] {
 	const owners = new Map<number, number>();
-	return calls.flatMap(({token, machine, at}) => {
+	return calls.flatMap(({token, node: machine, at}) => {
 		const owner = owners.get(token) ?? machine;
 		owners.set(token, owner);
 		return owner === machine ? [] : [`token ${token} of node ${owner} used by node ${machine} at ${at}`];
@@ -57,33 +57,33 @@
 /**
 What was accepted of A, B and A again, while both were out of trouble.
 */
-function checkTurns({calls, faults}: DutyFacts): readonly string[] {
+function checkTurns({calls, faults}: DutyTrace): readonly string[] {
 	return listSubjects(calls).flatMap(subject => {
 		const accepted = calls.filter(call => call.subject === subject && call.isAccepted);
-		const turns = accepted.filter((call, index) => call.machine !== accepted[index - 1]?.machine);
+		const turns = accepted.filter((call, index) => call.node !== accepted[index - 1]?.node);
 		return turns.flatMap((call, index) => {
 			const before = turns[index - 2];
 			const between = turns[index - 1];
-			const isBack = before?.machine === call.machine && between !== undefined && call.at - before.at <= turnMs;
-			const isTouched = [before, between, call].some(one => one !== undefined && faults.wasTouched(one.machine, touchMs, one.at));
-			return isBack && !isTouched ? [`${subject}: node ${call.machine} again at ${call.at}, ${call.at - before.at} ms after its turn`] : [];
+			const isBack = before?.node === call.node && between !== undefined && call.at - before.at <= turnMs;
+			const isTouched = [before, between, call].some(one => one !== undefined && faults.wasAffected(one.node, touchMs, one.at));
+			return isBack && !isTouched ? [`${subject}: node ${call.node} again at ${call.at}, ${call.at - before.at} ms after its turn`] : [];
 		});
 	});
 }
 
-function checkRefused({calls}: DutyFacts): readonly string[] {
-	const refusals = calls.filter(({isOutdated}) => isOutdated);
-	return refusals.flatMap(refusal => calls.filter(call => call.machine === refusal.machine && call.subject === refusal.subject && call.token === refusal.token && call.at > refusal.at + turnMs).map(({at, token}) => `token ${token}, refused at ${refusal.at}, used again at ${at}`));
+function checkRefused({calls}: DutyTrace): readonly string[] {
+	const refusals = calls.filter(({isStale: isOutdated}) => isOutdated);
+	return refusals.flatMap(refusal => calls.filter(call => call.node === refusal.node && call.subject === refusal.subject && call.token === refusal.token && call.at > refusal.at + turnMs).map(({at, token}) => `token ${token}, refused at ${refusal.at}, used again at ${at}`));
 }
 
-function checkReports({reports, endMs, windowMs}: DutyFacts): readonly string[] {
+function checkReports({reports, endMs, windowMs}: DutyTrace): readonly string[] {
 	const twice = [...reports].filter(([, contents]) => contents.size > 1).map(([window]) => `window ${window} accepted with different counts`);
 	const last = Math.floor((endMs - dueMs) / windowMs) - 1;
 	const missing = Array.from({length: calmWindows}, (_value, index) => last - index).filter(window => !reports.has(window));
 	return [...twice, ...missing.map(window => `window ${window} was not reported`)];
 }
 
-function checkReplicas({replicas, scaling}: DutyFacts): readonly string[] {
+function checkReplicas({replicas, scaling}: DutyTrace): readonly string[] {
 	const total = replicas.reduce((sum, {count}) => sum + count, 0);
 	const over = Object.keys(scaling.prices).filter(place => replicas.filter(({dataCentre}) => dataCentre === place).reduce((sum, {count}) => sum + count, 0) > scaling.most);
 	return [
--- a/emulator/duties/src/create-emulated-duty-platform.ts
+++ b/emulator/duties/src/create-emulated-duty-platform.ts
@@ -3,11 +3,11 @@
 import type {PausedRuntime} from '@valvesaddle/emulator-beliefs';
 import type {DutyCall} from './duty-call.ts';
 import type {EmulatedDutyPlatform} from './emulated-duty-platform.ts';
-import type {FaultBook} from './fault-book.ts';
+import type {FaultSchedule} from './fault-schedule.ts';
 
 type PlatformOptions = {
 	readonly runtime: PausedRuntime;
-	readonly faults: FaultBook;
+	readonly faults: FaultSchedule;
 	readonly random: () => number;
 	/**
 	Data centre that a fault of spot replicas strikes.
@@ -47,7 +47,7 @@
 		tokens.set(subject, Math.max(proof.token, tokens.get(subject) ?? 0));
 		const isAccepted = !isOutdated && carryOut();
 		calls.push({
-			at: runtime.now(), machine, token: proof.token, subject, isAccepted, isOutdated,
+			at: runtime.now(), node: machine, token: proof.token, subject, isAccepted, isStale: isOutdated,
 		});
 		return isAccepted ? 'accepted' : 'refused';
 	}
--- a/emulator/duties/src/create-emulated-duty-store.ts
+++ b/emulator/duties/src/create-emulated-duty-store.ts
@@ -2,13 +2,13 @@
 import type {DutyStore, EntryWrite, StoredEntry} from '@valvesaddle/duty-types';
 import type {PausedRuntime} from '@valvesaddle/emulator-beliefs';
 import {ValvesaddleError} from '@valvesaddle/error';
-import type {FaultBook} from './fault-book.ts';
+import type {FaultSchedule} from './fault-schedule.ts';
 
 type Entry = StoredEntry & {readonly lease: string | undefined};
 
 type StoreOptions = {
 	readonly runtime: PausedRuntime;
-	readonly faults: FaultBook;
+	readonly faults: FaultSchedule;
 	readonly random: () => number;
 	/**
 	Told of entries that are gone.
--- a/emulator/duties/src/duty-report.ts
+++ b/emulator/duties/src/duty-report.ts
@@ -5,7 +5,7 @@
 	/**
 	Rules that were broken, in words.
 	*/
-	readonly breaches: readonly string[];
+	readonly violations: readonly string[];
 	readonly calls: number;
 	readonly holders: number;
 	/**
--- a/emulator/duties/src/fault-book.ts
+++ b/emulator/duties/src/fault-schedule.ts
@@ -3,7 +3,7 @@
 /**
 Which faults act.
 */
-export type FaultBook = {
+export type FaultSchedule = {
 	/**
 	Whether a fault of the kind acts now, on that node if it concerns one.
 	*/
@@ -15,5 +15,5 @@
 	/**
 	Whether any fault has touched a node, the store or the platform within the last milliseconds.
 	*/
-	readonly wasTouched: (node: number, withinMs: number, at: number) => boolean;
+	readonly wasAffected: (node: number, withinMs: number, at: number) => boolean;
 };
--- a/emulator/duties/src/main.ts
+++ b/emulator/duties/src/main.ts
@@ -14,12 +14,12 @@
 	// eslint-disable-next-line no-await-in-loop -- one run after the other
 	const report = await runDuties({seed, faults});
 	calls += report.calls;
-	if (report.breaches.length === 0) {
+	if (report.violations.length === 0) {
 		continue;
 	}
 
 	broken++;
-	console.log(`seed ${seed}: ${report.breaches.join('; ')}`);
+	console.log(`seed ${seed}: ${report.violations.join('; ')}`);
 	console.log(`  ${faults.map(({kind, node, at, until}) => `${kind} ${node} ${at}-${until}`).join(', ')}`);
 }
 
--- a/emulator/duties/src/run-duties.ts
+++ b/emulator/duties/src/run-duties.ts
@@ -1,7 +1,7 @@
 import {createDutyLease, type DutyLease} from '@valvesaddle/duty-lease';
 import {createScaler, type Scaler} from '@valvesaddle/duty-scaling';
 import type {DutyProof} from '@valvesaddle/duty-types';
-import {createUsageBook, createUsageReporter, type UsageReporter} from '@valvesaddle/duty-usage';
+import {createUsageCounters, createUsageReporter, type UsageReporter} from '@valvesaddle/duty-usage';
 import {createPausedRuntime} from '@valvesaddle/emulator-beliefs';
 import type {PoolScaling} from '@valvesaddle/gateway-types';
 import {createLogger} from '@valvesaddle/logger';
@@ -10,7 +10,7 @@
 import {checkDuties} from './check-duties.ts';
 import {createEmulatedDutyPlatform} from './create-emulated-duty-platform.ts';
 import {createEmulatedDutyStore} from './create-emulated-duty-store.ts';
-import {createFaultBook} from './create-fault-book.ts';
+import {createFaultSchedule} from './create-fault-schedule.ts';
 import type {DutyFault} from './duty-fault.ts';
 import type {DutyReport} from './duty-report.ts';
 
@@ -52,7 +52,7 @@
 export async function runDuties({seed, faults: planned}: DutyOptions): Promise<DutyReport> {
 	const runtime = createPausedRuntime(seed);
 	const random = createRandom(seed);
-	const faults = createFaultBook(planned, runtime.now);
+	const faults = createFaultSchedule(planned, runtime.now);
 	const nodes: Node[] = [];
 	const store = createEmulatedDutyStore({
 		runtime, faults, random, onRemoved(key) {
@@ -73,7 +73,7 @@
 		processes++;
 		const client = store.connect(machine);
 		const lease = createDutyLease({
-			store: client, key: 'holder', holder: `n${machine}.${processes}`, leaseMs, standAsideMs, logger, metrics,
+			store: client, key: 'holder', holder: `n${machine}.${processes}`, leaseMs, reacquireDelayMs: standAsideMs, logger, metrics,
 		});
 		const getProof = (): DutyProof | undefined => {
 			const token = lease.token();
@@ -81,9 +81,9 @@
 		};
 
 		// Nodes have heard different counts when they close a window.
-		const book = createUsageBook(`n${machine}`);
+		const book = createUsageCounters(`n${machine}`);
 		const reporter = createUsageReporter({
-			book: {sum: window => ({...book.sum(window), sawmill: 100 + machine})}, store: client, platform: platform.connect(machine), getProof, confirm: lease.confirm, windowMs, settleMs, logger, metrics,
+			counters: {sum: window => ({...book.sum(window), sawmill: 100 + machine})}, store: client, platform: platform.connect(machine), getProof, confirm: lease.confirm, windowMs, settleMs, logger, metrics,
 		});
 		const scaler = createScaler({
 			platform: platform.connect(machine),
@@ -92,10 +92,10 @@
 			raiseToken: lease.raiseToken,
 			listPools: () => [{name: 'drafting', engine: undefined, scaling}],
 			countReady: platform.listReplicas,
-			measureWork: () => ({
+			measurePoolLoad: () => ({
 				open: runtime.now() < faultyMs ? 100 * random() : 0, placedTokens: 0, tokensPerMs: 50, slots: 12,
 			}),
-			leastShare: 0.5,
+			minimumShare: 0.5,
 			logger,
 			metrics,
 		});
@@ -134,8 +134,8 @@
 			}
 
 			holders.add(token);
-			node.reporter.begin(runtime.now());
-			node.scaler.begin();
+			node.reporter.start(runtime.now());
+			node.scaler.start();
 		});
 		runRepeatedly(node, machine, stepMs, async () => node.lease.token() === undefined ? undefined : node.scaler.update());
 		runRepeatedly(node, machine, stepMs, async () => node.lease.token() === undefined ? undefined : node.reporter.update(runtime.now()));
@@ -167,7 +167,7 @@
 
 	runtime.close();
 	return {
-		breaches: checkDuties({
+		violations: checkDuties({
 			calls: platform.calls, reports: platform.reports, replicas: platform.listReplicas(), faults, scaling, endMs: faultyMs + calmMs, windowMs,
 		}),
 		calls: platform.calls.length,
--- a/node/gateway/src/create-duty-task.ts
+++ b/node/gateway/src/create-duty-task.ts
@@ -60,7 +60,7 @@
 		},
 	});
 	const lease = createDutyLease({
-		store, key: holderKey, holder: options.process, leaseMs: settings.lease_ms, standAsideMs: settings.order_ms + asideMarginMs, logger, metrics,
+		store, key: holderKey, holder: options.process, leaseMs: settings.lease_ms, reacquireDelayMs: settings.order_ms + asideMarginMs, logger, metrics,
 	});
 
 	function getProof(): DutyProof | undefined {
@@ -69,7 +69,7 @@
 	}
 
 	const reporter = createUsageReporter({
-		book: {sum: window => sync.usage?.book.sum(window) ?? {}},
+		counters: {sum: window => sync.usage?.book.sum(window) ?? {}},
 		store,
 		platform,
 		getProof,
@@ -86,10 +86,10 @@
 		raiseToken: lease.raiseToken,
 		listPools: () => view.configuration()?.pools ?? [],
 		countReady: pool => countReady(view.endpoints(), pool),
-		measureWork: pool => ({
+		measurePoolLoad: pool => ({
 			...options.selector.measureWork(pool), slots: view.configuration()?.pools.find(({name}) => name === pool)?.engine?.slots ?? 1,
 		}),
-		leastShare: settings.least_share,
+		minimumShare: settings.least_share,
 		logger,
 		metrics,
 	});
@@ -116,8 +116,8 @@
 			return;
 		}
 
-		reporter.begin(options.toUnixTime(performance.now()));
-		scaler.begin();
+		reporter.start(options.toUnixTime(performance.now()));
+		scaler.start();
 	}
 
 	return {
--- a/node/gateway/src/create-usage-sync.ts
+++ b/node/gateway/src/create-usage-sync.ts
@@ -1,4 +1,4 @@
-import {createUsageBook, type UsageRow} from '@valvesaddle/duty-usage';
+import {createUsageCounters, type UsageRow} from '@valvesaddle/duty-usage';
 import type {PeerNetwork} from '@valvesaddle/network';
 import type {LinkPlan} from './link-plan.ts';
 import {usageSchema} from './usage-schema.ts';
@@ -32,7 +32,7 @@
  usage.count('sawmill', performance.now());
  */
 export function createUsageSync({node: self, network, links, windowMs, toUnixTime}: UsageSyncOptions): UsageSync {
-	const book = createUsageBook(self);
+	const book = createUsageCounters(self);
 	/**
 	Rows to be sent, each in its last state.
 	*/
--- a/node/gateway/src/usage-sync.ts
+++ b/node/gateway/src/usage-sync.ts
@@ -1,4 +1,4 @@
-import type {UsageBook} from '@valvesaddle/duty-usage';
+import type {UsageCounters} from '@valvesaddle/duty-usage';
 
 /**
 Exchange of counts of usage with peers.
@@ -19,7 +19,7 @@
 	/**
 	All that is known.
 	*/
-	readonly book: UsageBook;
+	readonly book: UsageCounters;
 	/**
 	Takes in a peer's message; throws `ZodError` for one of a wrong form.
 	*/
