--- a/duties/scaling/src/create-need-estimator.ts
+++ b/duties/scaling/src/create-need-estimator.ts
@@ -4,23 +4,26 @@
 
 type NeedOptions = {
 	/**
-	Fewest replicas that are asked for, whatever the work.
+	Lowest estimate, whatever the load.
 	*/
 	readonly minimumReplicas: number;
 };
 
 /**
-Part of its places that a replica has taken at the usual load: the rest is for what comes in the time that a new one needs.
+Target share of a replica's slots in use; the rest absorbs load that arrives while a new replica boots.
 */
-const usualOpenShare = 0.45;
+const targetOpenShare = 0.45;
 /**
-Part of its time that an engine reads at the usual load; the rest is for tokens of its streams.
+Target share of an engine's time spent on prefill; the rest is for token generation.
 */
-const usualReadingShare = 0.35;
+const targetPrefillShare = 0.35;
 /**
-Time over which reading is measured, and for which the highest need counts, in milliseconds: fast up, slowly down.
+Window of the prefill rate.
+*/
+const rateWindowMs = 1500;
+/**
+Time for which the highest estimate applies; long, so that a pool scales up fast and down slowly.
 */
-const rateMs = 1500;
 const holdMs = 15_000;
 const msPerSecond = 1000;
 
@@ -30,37 +33,37 @@
 };
 
 /**
- Creates the estimator of a pool's need: by the requests that are open, and by the reading that prompts ask for, which rises a
- few seconds before requests pile up.
+ Creates an estimator of a pool's replica demand. It uses open requests and the prefill rate, which rises a few seconds before
+ open requests do.
 
  @example
- const needs = createNeedEstimator({minimumReplicas: 8});
- needs.update({open: 60, placedTokens: 0, tokensPerMs: 50, slots: 12}).count; // 12
+ const estimator = createNeedEstimator({minimumReplicas: 8});
+ estimator.update({open: 60, placedTokens: 0, tokensPerMs: 50, slots: 12}).count; // 12
  */
-export function createNeedEstimator({minimumReplicas: least}: NeedOptions): NeedEstimator {
-	let placed: readonly Sample[] = [];
+export function createNeedEstimator({minimumReplicas}: NeedOptions): NeedEstimator {
+	let samples: readonly Sample[] = [];
 	let peaks: ReadonlyArray<Sample & {readonly reason: Need['reason']}> = [];
 
 	function measureRate({placedTokens}: PoolLoad, now: number): number {
-		placed = [...placed.filter(({at}) => now - at <= rateMs), {at: now, value: placedTokens}];
-		const [first] = placed;
+		samples = [...samples.filter(({at}) => now - at <= rateWindowMs), {at: now, value: placedTokens}];
+		const [first] = samples;
 		const elapsedMs = first === undefined ? 0 : now - first.at;
 		return elapsedMs <= 0 ? 0 : Math.max(0, placedTokens - (first?.value ?? 0)) / elapsedMs * msPerSecond;
 	}
 
 	return {
-		update(work) {
+		update(load) {
 			const now = performance.now();
-			const tokensPerS = measureRate(work, now);
-			const byOpen = work.open / (work.slots * usualOpenShare);
-			const byReading = tokensPerS / (work.tokensPerMs * msPerSecond * usualReadingShare);
-			const value = Math.ceil(Math.max(least, byOpen, byReading));
-			const reason = value <= least ? 'least' : (byOpen >= byReading ? 'open requests' : 'reading');
-			// Only what is higher than all after it can be the highest later.
+			const tokensPerS = measureRate(load, now);
+			const byOpen = load.open / (load.slots * targetOpenShare);
+			const byPrefill = tokensPerS / (load.tokensPerMs * msPerSecond * targetPrefillShare);
+			const value = Math.ceil(Math.max(minimumReplicas, byOpen, byPrefill));
+			const reason = value <= minimumReplicas ? 'least' : (byOpen >= byPrefill ? 'open requests' : 'reading');
+			// Drops samples that can no longer become the maximum.
 			peaks = [...peaks.filter(peak => now - peak.at <= holdMs && peak.value > value), {at: now, value, reason}];
 			const [highest] = peaks;
 			return {
-				count: highest?.value ?? value, needed: Math.ceil(Math.max(byOpen, byReading)), tokensPerS, reason: highest?.reason ?? reason,
+				count: highest?.value ?? value, needed: Math.ceil(Math.max(byOpen, byPrefill)), tokensPerS, reason: highest?.reason ?? reason,
 			};
 		},
 	};
--- a/duties/scaling/src/create-order-planner.ts
+++ b/duties/scaling/src/create-order-planner.ts
@@ -5,89 +5,89 @@
 import type {ReplicaCount} from './replica-count.ts';
 import type {ReplicaPlan} from './replica-plan.ts';
 
-type Ordered = {
+type AcceptedOrder = {
 	readonly count: number;
 	readonly at: number;
 };
 
 /**
-How long a data centre that had no spot replicas is left out, in milliseconds.
+Delay before spot replicas are ordered again in a data centre that had none.
 */
-const withoutSpotMs = 4000;
+const spotRetryDelayMs = 4000;
 /**
-Time beside that of the start until ordered replicas ought to be listed, in milliseconds.
+Time after booting within which new replicas are listed.
 */
-const listedMs = 2500;
+const listingDelayMs = 2500;
 
 /**
- Creates the book of a pool's orders. Replicas go only when what is wanted serves without them.
+ Creates the order planner of a pool. It removes on-demand replicas only while more replicas than the target are ready.
 
  @example
- const book = createOrderBook();
- const [order] = book.list({pool: 'drafting', scaling, count: 40, needed: 12, ready});
+ const planner = createOrderPlanner();
+ const [order] = planner.list({pool: 'drafting', scaling, count: 40, needed: 12, ready});
  */
 export function createOrderPlanner(): OrderPlanner {
-	const ordered = new Map<string, Ordered>();
-	const noneUntil = new Map<string, number>();
+	const accepted = new Map<string, AcceptedOrder>();
+	const spotRetryAt = new Map<string, number>();
 
-	function listWithoutSpot({ready}: OrderInput): ReadonlyMap<string, number> {
+	function listSpotLimits({ready}: OrderInput): ReadonlyMap<string, number> {
 		const now = performance.now();
-		const places = noneUntil.entries().filter(([, until]) => now < until).map(([dataCentre]) => dataCentre);
-		return new Map(places.map(place => [place, getReady(ready, place, true)]));
+		const dataCentres = spotRetryAt.entries().filter(([, retryAt]) => now < retryAt).map(([dataCentre]) => dataCentre);
+		return new Map(dataCentres.map(dataCentre => [dataCentre, getReady(ready, dataCentre, true)]));
 	}
 
 	/**
-	An order that stands is given again when by now another number serves: some may have been reclaimed, or an older order may have
-	been carried out after it.
+	Repeats an accepted order if the number of ready replicas still differs after the boot time: replicas may have been reclaimed, or
+	an earlier order may have been carried out late.
 	*/
 	function isDue({pool, dataCentre, isSpot, count}: ReplicaOrder, ready: number, bootMs: number): boolean {
-		const before = ordered.get(toKey({pool, dataCentre, isSpot}));
+		const previous = accepted.get(toKey({pool, dataCentre, isSpot}));
 		const now = performance.now();
-		return before?.count !== count || (ready !== count && now - before.at > bootMs + listedMs);
+		return previous?.count !== count || (ready !== count && now - previous.at > bootMs + listingDelayMs);
 	}
 
-	function listOrders({dataCentre, onDemand: usual, spot}: ReplicaPlan, question: OrderInput, surplus: number, withoutSpot: ReadonlyMap<string, number>): readonly ReplicaOrder[] {
-		const {pool, ready, scaling} = question;
-		const usualReady = getReady(ready, dataCentre, false);
-		// What still serves of the usual ones takes places of the limit for both.
+	function listOrders({dataCentre, onDemand, spot}: ReplicaPlan, input: OrderInput, surplus: number, spotLimits: ReadonlyMap<string, number>): readonly ReplicaOrder[] {
+		const {pool, ready, scaling} = input;
+		const onDemandReady = getReady(ready, dataCentre, false);
+		// The limit covers both kinds, so on-demand replicas that are still ready reduce the room for spot ones.
 		const spotOrder = {
-			pool, dataCentre, isSpot: true, count: Math.min(spot, Math.max(0, scaling.most - usualReady)),
+			pool, dataCentre, isSpot: true, count: Math.min(spot, Math.max(0, scaling.most - onDemandReady)),
 		};
-		const usualOrder = {
-			pool, dataCentre, isSpot: false, count: Math.max(usual, usualReady - Math.max(0, surplus)),
+		const onDemandOrder = {
+			pool, dataCentre, isSpot: false, count: Math.max(onDemand, onDemandReady - Math.max(0, surplus)),
 		};
 		const spotReady = getReady(ready, dataCentre, true);
 		return [
-			// Those that serve stay; an order for more would be refused again.
-			...(!withoutSpot.has(dataCentre) && isDue(spotOrder, spotReady, scaling.bootMs) ? [spotOrder] : []),
-			...(isDue(usualOrder, usualReady, scaling.bootMs) ? [usualOrder] : []),
+			// Spot replicas that are ready stay; an order for more would be refused again.
+			...(!spotLimits.has(dataCentre) && isDue(spotOrder, spotReady, scaling.bootMs) ? [spotOrder] : []),
+			...(isDue(onDemandOrder, onDemandReady, scaling.bootMs) ? [onDemandOrder] : []),
 		];
 	}
 
 	return {
-		list(question) {
-			const {scaling, count, needed, ready} = question;
-			const withoutSpot = listWithoutSpot(question);
-			const plan = planReplicas({
-				count, needed, scaling, spotLimits: withoutSpot,
+		list(input) {
+			const {scaling, count, needed, ready} = input;
+			const spotLimits = listSpotLimits(input);
+			const plans = planReplicas({
+				count, needed, scaling, spotLimits,
 			});
 			let surplus = ready.reduce((sum, one) => sum + one.count, 0) - count;
-			return plan.flatMap(place => {
-				const orders = listOrders(place, question, surplus, withoutSpot);
-				const usualReady = getReady(ready, place.dataCentre, false);
-				surplus -= Math.max(0, Math.min(surplus, usualReady - place.onDemand));
+			return plans.flatMap(plan => {
+				const orders = listOrders(plan, input, surplus, spotLimits);
+				const onDemandReady = getReady(ready, plan.dataCentre, false);
+				surplus -= Math.max(0, Math.min(surplus, onDemandReady - plan.onDemand));
 				return orders;
 			});
 		},
 		markAccepted(order) {
-			ordered.set(toKey(order), {count: order.count, at: performance.now()});
+			accepted.set(toKey(order), {count: order.count, at: performance.now()});
 		},
 		markUnknown(order) {
-			ordered.delete(toKey(order));
+			accepted.delete(toKey(order));
 		},
 		markUnavailable(order) {
 			if (order.isSpot) {
-				noneUntil.set(order.dataCentre, performance.now() + withoutSpotMs);
+				spotRetryAt.set(order.dataCentre, performance.now() + spotRetryDelayMs);
 			}
 		},
 	};
--- a/duties/scaling/src/create-scaler.ts
+++ b/duties/scaling/src/create-scaler.ts
@@ -8,20 +8,20 @@
 import type {ScalerOptions} from './scaler-options.ts';
 
 /**
-Replicas by which a wanted number goes up or down at a time, so that small changes of the work give no orders.
+Targets are multiples of this number, so that small changes of load cause no orders.
 */
-const stepReplicas = 8;
+const replicaStep = 8;
 
 type PoolState = {
-	readonly needs: NeedEstimator;
-	readonly orders: OrderPlanner;
-	wanted: number;
+	readonly estimator: NeedEstimator;
+	readonly planner: OrderPlanner;
+	target: number;
 	needed: number;
 };
 
 /**
- Creates the giver of orders for replicas. Nothing can be read back, so it goes by the replicas that are listed; after an order
- without an answer it takes a higher token before the next one.
+ Creates the scaler, which orders replicas for each pool's load. Orders can't be read back from the platform, so it compares the
+ target with the endpoints that are listed. After an order without an answer it raises the fencing token before it sends the next one.
 
  @example
  const scaler = createScaler(options);
@@ -30,58 +30,58 @@
 export function createScaler(options: ScalerOptions): Scaler {
 	const {platform, logger, metrics} = options;
 	const pools = new Map<string, PoolState>();
-	let isUncertain = false;
+	let hasUnansweredOrder = false;
 
 	function getState(pool: string, scaling: PoolScaling): PoolState {
 		const state = pools.get(pool) ?? {
-			needs: createNeedEstimator({minimumReplicas: Math.ceil(countMost(scaling) * options.minimumShare)}), orders: createOrderPlanner(), wanted: 0, needed: 0,
+			estimator: createNeedEstimator({minimumReplicas: Math.ceil(countMaximum(scaling) * options.minimumShare)}), planner: createOrderPlanner(), target: 0, needed: 0,
 		};
 		pools.set(pool, state);
 		return state;
 	}
 
 	function updateWanted(pool: string, scaling: PoolScaling, state: PoolState): void {
-		const work = options.measurePoolLoad(pool);
-		const {count, needed, tokensPerS, reason} = state.needs.update(work);
+		const load = options.measurePoolLoad(pool);
+		const {count, needed, tokensPerS, reason} = state.estimator.update(load);
 		state.needed = needed;
-		const wanted = Math.min(countMost(scaling), Math.ceil(count / stepReplicas) * stepReplicas);
-		if (wanted === state.wanted) {
+		const target = Math.min(countMaximum(scaling), Math.ceil(count / replicaStep) * replicaStep);
+		if (target === state.target) {
 			return;
 		}
 
-		state.wanted = wanted;
+		state.target = target;
 		logger.info({
-			name: 'replicas-wanted', pool, count: wanted, ready: options.countReady(pool).reduce((sum, one) => sum + one.count, 0), open: Math.round(work.open), tokensPerS: Math.round(tokensPerS), reason,
+			name: 'replicas-wanted', pool, count: target, ready: options.countReady(pool).reduce((sum, one) => sum + one.count, 0), open: Math.round(load.open), tokensPerS: Math.round(tokensPerS), reason,
 		});
 	}
 
-	const settlers: Readonly<Record<DutyAnswer, (order: ReplicaOrder, orders: OrderPlanner) => Promise<void>>> = {
-		async accepted(order, orders) {
-			orders.markAccepted(order);
+	const answerHandlers: Readonly<Record<DutyAnswer, (order: ReplicaOrder, planner: OrderPlanner) => Promise<void>>> = {
+		async accepted(order, planner) {
+			planner.markAccepted(order);
 		},
-		async refused(order, orders) {
+		async refused(order, planner) {
 			if (await options.confirm()) {
-				orders.markUnavailable(order);
+				planner.markUnavailable(order);
 			}
 		},
 		async busy() {
-			// It is due again.
+			// The order stays due.
 		},
-		async rejected(order, orders) {
+		async rejected(order, planner) {
 			// The same order would be rejected again.
-			orders.markAccepted(order);
+			planner.markAccepted(order);
 		},
-		async unknown(order, orders) {
-			orders.markUnknown(order);
-			isUncertain = true;
+		async unknown(order, planner) {
+			planner.markUnknown(order);
+			hasUnansweredOrder = true;
 		},
 	};
 
-	async function sendOrder(order: ReplicaOrder, orders: OrderPlanner): Promise<void> {
-		isUncertain &&= await options.raiseToken() === undefined;
+	async function sendOrder(order: ReplicaOrder, planner: OrderPlanner): Promise<void> {
+		hasUnansweredOrder &&= await options.raiseToken() === undefined;
 
 		const proof = options.getProof();
-		if (proof === undefined || isUncertain) {
+		if (proof === undefined || hasUnansweredOrder) {
 			return;
 		}
 
@@ -90,7 +90,7 @@
 		logger.info({
 			name: 'replicas-ordered', ...order, ready: options.countReady(order.pool).find(one => one.dataCentre === order.dataCentre && one.isSpot === order.isSpot)?.count ?? 0, token: proof.token, answer,
 		});
-		await settlers[answer](order, orders);
+		await answerHandlers[answer](order, planner);
 	}
 
 	async function updatePool({name: pool, scaling}: ServicePool): Promise<void> {
@@ -100,11 +100,11 @@
 
 		const state = getState(pool, scaling);
 		updateWanted(pool, scaling, state);
-		for (const order of state.orders.list({
-			pool, scaling, count: state.wanted, needed: state.needed, ready: options.countReady(pool),
+		for (const order of state.planner.list({
+			pool, scaling, count: state.target, needed: state.needed, ready: options.countReady(pool),
 		})) {
-			// eslint-disable-next-line no-await-in-loop -- one order after the other: each may need a higher token
-			await sendOrder(order, state.orders);
+			// eslint-disable-next-line no-await-in-loop -- orders are sent in turn: each may need a higher token
+			await sendOrder(order, state.planner);
 		}
 	}
 
@@ -117,14 +117,14 @@
 		},
 		start() {
 			pools.clear();
-			isUncertain = false;
+			hasUnansweredOrder = false;
 		},
 	};
 }
 
 /**
-Replicas that are allowed in all data centres together.
+Returns the maximum number of replicas in all data centres.
 */
-function countMost({most, prices}: PoolScaling): number {
+function countMaximum({most, prices}: PoolScaling): number {
 	return most * Object.keys(prices).length;
 }
--- a/duties/scaling/src/need-estimator.ts
+++ b/duties/scaling/src/need-estimator.ts
@@ -2,8 +2,8 @@
 import type {PoolLoad} from './pool-load.ts';
 
 /**
-Estimates how many replicas a pool needs.
+Estimates the replica demand of a pool.
 */
 export type NeedEstimator = {
-	readonly update: (work: PoolLoad) => Need;
+	readonly update: (load: PoolLoad) => Need;
 };
--- a/duties/scaling/src/need.ts
+++ b/duties/scaling/src/need.ts
@@ -1,18 +1,21 @@
 /**
-The number of replicas that a pool's work asks for.
+Estimated replica demand of a pool.
 */
 export type Need = {
+	/**
+	Highest estimate of the last seconds, so that a pool scales down slowly.
+	*/
 	readonly count: number;
 	/**
-	Replicas that the work needs now.
+	Replicas that the current load needs.
 	*/
 	readonly needed: number;
 	/**
-	Tokens that were to be read in a second, of late.
+	Recent rate of prompt tokens to prefill, in tokens per second.
 	*/
 	readonly tokensPerS: number;
 	/**
-	What asked for the count.
+	What determined the count: open requests, prefill (`reading`) or the configured minimum (`least`).
 	*/
 	readonly reason: 'open requests' | 'reading' | 'least';
 };
--- a/duties/scaling/src/order-planner.ts
+++ b/duties/scaling/src/order-planner.ts
@@ -2,23 +2,23 @@
 import type {OrderInput} from './order-input.ts';
 
 /**
-What was ordered of a pool, and what has to be ordered next.
+Plans the orders for a pool's replicas.
 */
 export type OrderPlanner = {
 	/**
-	Orders that bring what serves to the wanted number; those that bring more come first.
+	Orders that are due to reach the target; in each data centre the one for spot replicas comes first.
 	*/
-	readonly list: (question: OrderInput) => readonly ReplicaOrder[];
+	readonly list: (input: OrderInput) => readonly ReplicaOrder[];
 	/**
-	Notes that an order was accepted.
+	Records that an order was accepted.
 	*/
 	readonly markAccepted: (order: ReplicaOrder) => void;
 	/**
-	Notes that nobody can say what stands: the order may have been carried out, or be later.
+	Records that an order had no answer and may have been carried out, or be carried out later; it is sent again.
 	*/
 	readonly markUnknown: (order: ReplicaOrder) => void;
 	/**
-	Notes that a data centre has no replicas of the kind at the moment.
+	Records that a data centre has no replicas of the kind at present; only spot orders are affected.
 	*/
 	readonly markUnavailable: (order: ReplicaOrder) => void;
 };
--- a/duties/scaling/src/plan-replicas.ts
+++ b/duties/scaling/src/plan-replicas.ts
@@ -3,92 +3,93 @@
 
 type PlanInput = {
 	/**
-	Replicas of both kinds that are wanted; so many are left when any one data centre loses its spot replicas.
+	Target number of replicas of both kinds, which must remain when any one data centre loses its spot replicas.
 	*/
 	readonly count: number;
 	/**
-	Replicas that the work needs now; more are wanted for what may come.
+	Replicas that the current load needs; `count` also covers the recent peak.
 	*/
 	readonly needed: number;
 	readonly scaling: PoolScaling;
 	/**
-	Data centres that have no more spot replicas at the moment, and how many serve there.
+	Maximum number of spot replicas in each data centre that has no spare spot capacity.
 	*/
 	readonly spotLimits: ReadonlyMap<string, number>;
 };
 
-type Place = {
+type Candidate = {
 	readonly dataCentre: string;
 	readonly price: number;
-	readonly most: number;
+	readonly maximum: number;
 };
 
 /**
- Plans where replicas run, and of which kind. Each data centre keeps as many usual ones as it must have at the least, so that a
- reclaim of its spot replicas leaves it something; all others are spot, spread evenly over the data centres, with so many more
- that the loss of those of any one leaves what is wanted; usual ones, which cost several times as much, stand in only for what
- the work needs now.
+ Plans the number of on-demand and spot replicas in each data centre. Each data centre runs its minimum as on-demand replicas,
+ which remain when its spot replicas are reclaimed. The others are spot replicas, spread evenly, with a reserve for the loss of all
+ spot replicas of one data centre. Missing spot replicas are replaced by on-demand ones only as far as the current load needs them.
 
  @example
  planReplicas({count: 8, needed: 2, scaling, withoutSpot: new Map()}); // [{dataCentre: 'a', onDemand: 1, spot: 6}, {dataCentre: 'b', onDemand: 1, spot: 6}]
  */
-export function planReplicas({count, needed, scaling, spotLimits: withoutSpot}: PlanInput): readonly ReplicaPlan[] {
+export function planReplicas({count, needed, scaling, spotLimits}: PlanInput): readonly ReplicaPlan[] {
 	const {least, most, spotPrice} = scaling;
-	const places = Object.entries(scaling.prices).map(([dataCentre, price]): Place => ({dataCentre, price, most: most - least}));
-	const wanted = Math.max(0, count - (places.length * least));
-	// Evenly: what one data centre loses counts, not what it costs.
-	const spotPlaces = places.map(place => ({...place, price: 1, most: spotPrice === undefined ? 0 : Math.min(place.most, withoutSpot.get(place.dataCentre) ?? place.most)}));
-	const spot = planSpread(spotPlaces, wanted + measureSpare(places.length, wanted));
-	const missing = Math.min(count, needed) - (places.length * least) - countAll(spot);
-	const usual = planSpread(places.map((place, index) => ({...place, most: place.most - (spot[index] ?? 0)})), missing);
-	return places.map(({dataCentre}, index) => ({dataCentre, onDemand: least + (usual[index] ?? 0), spot: spot[index] ?? 0}));
+	const candidates = Object.entries(scaling.prices).map(([dataCentre, price]): Candidate => ({dataCentre, price, maximum: most - least}));
+	const flexible = Math.max(0, count - (candidates.length * least));
+	// Equal prices spread spot replicas evenly, which limits the loss in any one data centre.
+	const spotCandidates = candidates.map(candidate => ({
+		...candidate, price: 1, maximum: spotPrice === undefined ? 0 : Math.min(candidate.maximum, spotLimits.get(candidate.dataCentre) ?? candidate.maximum),
+	}));
+	const spot = planAllocation(spotCandidates, flexible + measureSpotReserve(candidates.length, flexible));
+	const missing = Math.min(count, needed) - (candidates.length * least) - countTotal(spot);
+	const onDemand = planAllocation(candidates.map((candidate, index) => ({...candidate, maximum: candidate.maximum - (spot[index] ?? 0)})), missing);
+	return candidates.map(({dataCentre}, index) => ({dataCentre, onDemand: least + (onDemand[index] ?? 0), spot: spot[index] ?? 0}));
 }
 
 /**
-Gives one after the other to the place that has the fewest for its price.
+Allocates replicas one by one, each to the candidate with the lowest weight.
 */
-function planSpread(places: readonly Place[], count: number): readonly number[] {
-	const given = places.map(() => 0);
-	for (let left = count; left > 0; left--) {
-		const index = findCheapest(places, given);
+function planAllocation(candidates: readonly Candidate[], count: number): readonly number[] {
+	const allocated = candidates.map(() => 0);
+	for (let remaining = count; remaining > 0; remaining--) {
+		const index = findCheapest(candidates, allocated);
 		if (index === undefined) {
 			break;
 		}
 
-		given[index] = (given[index] ?? 0) + 1;
+		allocated[index] = (allocated[index] ?? 0) + 1;
 	}
 
-	return given;
+	return allocated;
 }
 
 /**
-The place with room that has the fewest for its price; `undefined` when all are full.
+Returns the index of the candidate with the lowest price for its next number of replicas; `undefined` when all are at their maximum.
 */
-function findCheapest(places: readonly Place[], given: readonly number[]): number | undefined {
+function findCheapest(candidates: readonly Candidate[], allocated: readonly number[]): number | undefined {
 	let cheapest: number | undefined;
-	let leastWeight = Infinity;
-	for (const [index, {price, most}] of places.entries()) {
-		const count = given[index] ?? 0;
-		const weight = count < most ? (count + 1) * price : Infinity;
-		if (weight >= leastWeight) {
+	let lowestWeight = Infinity;
+	for (const [index, {price, maximum}] of candidates.entries()) {
+		const count = allocated[index] ?? 0;
+		const weight = count < maximum ? (count + 1) * price : Infinity;
+		if (weight >= lowestWeight) {
 			continue;
 		}
 
 		cheapest = index;
-		leastWeight = weight;
+		lowestWeight = weight;
 	}
 
 	return cheapest;
 }
 
 /**
-Spot replicas beyond those that are wanted, so that all but those of one data centre are enough; one alone has nothing to spare.
+Returns the additional spot replicas that make up for the loss of one data centre; 0 with a single data centre.
 */
-function measureSpare(places: number, wanted: number): number {
-	return places <= 1 ? 0 : Math.ceil(wanted / (places - 1));
+function measureSpotReserve(dataCentres: number, flexible: number): number {
+	return dataCentres <= 1 ? 0 : Math.ceil(flexible / (dataCentres - 1));
 }
 
-function countAll(counts: readonly number[]): number {
+function countTotal(counts: readonly number[]): number {
 	let total = 0;
 	for (const count of counts) {
 		total += count;
--- a/duties/scaling/src/pool-load.ts
+++ b/duties/scaling/src/pool-load.ts
@@ -1,21 +1,21 @@
 /**
-Work of a pool at a moment.
+Current load of a pool.
 */
 export type PoolLoad = {
 	/**
-	Requests that are open at its replicas.
+	Open requests at its replicas.
 	*/
 	readonly open: number;
 	/**
-	Tokens of prompts that were placed so far and that the chosen engines did not hold.
+	Total of prompt tokens routed so far that were not in the chosen engines' prefix caches.
 	*/
 	readonly placedTokens: number;
 	/**
-	Tokens that an engine reads in a millisecond, as learned.
+	Estimated prefill speed of an engine, in tokens per millisecond.
 	*/
 	readonly tokensPerMs: number;
 	/**
-	Requests that a replica runs at once.
+	Requests that a replica runs concurrently.
 	*/
 	readonly slots: number;
 };
--- a/duties/scaling/src/replica-count.ts
+++ b/duties/scaling/src/replica-count.ts
@@ -1,5 +1,5 @@
 /**
-Replicas that serve, by data centre and kind.
+Number of ready replicas of one kind in a data centre.
 */
 export type ReplicaCount = {
 	readonly dataCentre: string;
--- a/duties/scaling/src/replica-plan.ts
+++ b/duties/scaling/src/replica-plan.ts
@@ -1,5 +1,5 @@
 /**
-Replicas that a data centre shall run, by kind.
+Planned replicas of a data centre, by kind.
 */
 export type ReplicaPlan = {
 	readonly dataCentre: string;
--- a/duties/scaling/src/scaler-options.ts
+++ b/duties/scaling/src/scaler-options.ts
@@ -12,21 +12,21 @@
 	readonly platform: Pick<DutyPlatform, 'orderReplicas'>;
 	readonly getProof: () => DutyProof | undefined;
 	/**
-	Asks whether the store still names this node as the holder.
+	Checks whether the store still names this node as the holder.
 	*/
 	readonly confirm: () => Promise<boolean>;
 	/**
-	Takes a higher token, so that calls with the one before are refused whenever they arrive.
+	Acquires a higher fencing token, so that the platform refuses calls with the previous one.
 	*/
 	readonly raiseToken: () => Promise<number | undefined>;
 	readonly listPools: () => readonly ServicePool[];
 	/**
-	Replicas of a pool that serve.
+	Ready replicas of a pool.
 	*/
 	readonly countReady: (pool: string) => readonly ReplicaCount[];
 	readonly measurePoolLoad: (pool: string) => PoolLoad;
 	/**
-	Fewest replicas, as a part of the most that are allowed.
+	Minimum number of replicas, as a share of the maximum.
 	*/
 	readonly minimumShare: number;
 	readonly logger: Logger;
--- a/duties/scaling/src/scaler.ts
+++ b/duties/scaling/src/scaler.ts
@@ -1,13 +1,13 @@
 /**
-Orders of replicas, as the work asks for.
+Orders replicas as the load of the pools requires.
 */
 export type Scaler = {
 	/**
-	Gives the orders that are due; one call at a time.
+	Sends the orders that are due; calls must not overlap.
 	*/
 	readonly update: () => Promise<void>;
 	/**
-	Begins anew: another node held the duty before.
+	Discards all state; called when this node acquires the duty, since another node may have sent orders.
 	*/
 	readonly start: () => void;
 };
