--- a/duties/usage/src/create-usage-counters.ts
+++ b/duties/usage/src/create-usage-counters.ts
@@ -2,13 +2,13 @@
 import type {UsageRow} from './usage-row.ts';
 
 /**
- Creates a book of counts. Counts only rise and each belongs to one process, so rows may be told by several ways, in any order
- and more than once.
+ Creates usage counters. Counts only rise and each belongs to one process, so rows can arrive on several paths, in any order and
+ more than once.
 
  @example
- const book = createUsageBook('a1.7f');
- book.count(353445120, 'sawmill');
- book.sum(353445120); // {sawmill: 1}
+ const counters = createUsageCounters('a1.7f');
+ counters.count(353445120, 'sawmill');
+ counters.sum(353445120); // {sawmill: 1}
  */
 export function createUsageCounters(self: string): UsageCounters {
 	/**
@@ -24,7 +24,7 @@
 		return counts;
 	}
 
-	function isNew([origin, window, account, count]: UsageRow): boolean {
+	function didUpdateCount([origin, window, account, count]: UsageRow): boolean {
 		const counts = getCounts(window, account);
 		if (count <= (counts.get(origin) ?? 0)) {
 			return false;
@@ -41,16 +41,16 @@
 			counts.set(self, count);
 			return [self, window, account, count];
 		},
-		merge: rows => rows.filter(row => isNew(row)),
+		merge: rows => rows.filter(row => didUpdateCount(row)),
 		list: () => [...windows].flatMap(([window, accounts]) => [...accounts].flatMap(([account, counts]) => [...counts].map(([origin, count]): UsageRow => [origin, window, account, count]))),
 		sum(window) {
 			const accounts = windows.get(window) ?? new Map<string, Map<string, number>>();
 			return Object.fromEntries([...accounts].map(([account, counts]) => [account, counts.values().reduce((sum, count) => sum + count, 0)]));
 		},
 		removeBefore(window) {
-			for (const known of windows.keys()) {
-				if (known < window) {
-					windows.delete(known);
+			for (const recorded of windows.keys()) {
+				if (recorded < window) {
+					windows.delete(recorded);
 				}
 			}
 		},
--- a/duties/usage/src/create-usage-reporter.ts
+++ b/duties/usage/src/create-usage-reporter.ts
@@ -4,50 +4,53 @@
 import type {UsageReporterOptions} from './usage-reporter-options.ts';
 
 /**
-Windows before the present one that a new holder sends again: those that may still be due, and one more.
+Number of earlier windows that a new holder sends again, since their reports may not have been accepted.
 */
-const windowsBefore = 4;
+const resentWindows = 4;
 /**
-Windows after which the fixed counts of one are removed: far longer than a call may be carried out late.
+Number of windows for which written counts stay in the store: much longer than a delayed call can take.
 */
-const windowsKept = 24;
+const keptWindows = 24;
 const countsSchema = z.record(z.string(), z.number());
 
 /**
- Creates the reporter of usage. What is reported of a window is written to the store once, before it is sent, and only what
- stands there is ever sent: whoever holds the duty next sends the same counts.
+ Creates the usage reporter. The counts of a window are written to the store once, and only stored counts are sent, so that every
+ holder of the duty sends the same counts.
 
  @example
  const reporter = createUsageReporter(options);
  await reporter.update(Date.now());
  */
 export function createUsageReporter(options: UsageReporterOptions): UsageReporter {
-	const {counters: book, store, platform, windowMs, logger, metrics} = options;
-	let next: number | undefined;
+	const {counters, store, platform, windowMs, logger, metrics} = options;
+	let nextWindow: number | undefined;
 
 	/**
-	The last window that has ended and settled.
+	Returns the last window that has ended and whose counts have settled.
 	*/
-	function findLast(now: number): number {
+	function findLastSettled(now: number): number {
 		return Math.floor((now - options.settleMs) / windowMs) - 1;
 	}
 
 	async function writeCounts(window: number): Promise<UsageReport['counts'] | 'unknown' | 'unreadable'> {
 		const key = toKey(window);
-		const counts = book.sum(window);
+		const counts = counters.sum(window);
 		const written = await store.write({
-			key, text: JSON.stringify(counts), expected: 0, removed: [toKey(window - windowsKept)],
+			key, text: JSON.stringify(counts), expected: 0, removed: [toKey(window - keptWindows)],
 		});
 		if (written.isOk() && written.value !== undefined) {
 			return counts;
 		}
 
-		// It stands there already, or nobody can say: only what is read counts.
+		// The entry exists already, or the write had no answer: the stored counts apply.
 		const found = await store.read(key);
 		return found.match(entry => entry === undefined ? 'unknown' : parseCounts(entry.text), () => 'unknown');
 	}
 
-	async function wasSent(window: number): Promise<boolean> {
+	/**
+	Sends the report of a window; resolves to whether it was accepted, rejected or skipped, so that the next one can be sent.
+	*/
+	async function didReportWindow(window: number): Promise<boolean> {
 		const counts = await writeCounts(window);
 		const proof = options.getProof();
 		if (counts === 'unknown' || proof === undefined) {
@@ -55,9 +58,9 @@
 		}
 
 		if (counts === 'unreadable') {
-			// What another writer left there is not sent, and does not keep back what comes after it.
+			// Skips an entry that this code did not write, so that later windows are sent.
 			logger.warn({
-				name: 'store-entry-unreadable', key: toKey(window), revision: 0, reason: 'no counts of usage',
+				name: 'store-entry-unreadable', key: toKey(window), revision: 0, reason: 'entry is not a map of request counts by account',
 			});
 			return true;
 		}
@@ -67,10 +70,10 @@
 		logger.info({
 			name: 'usage-reported', window, accounts: Object.keys(counts).length, requests: Object.values(counts).reduce((sum, count) => sum + count, 0), token: proof.token, answer,
 		});
-		return settlers[answer]();
+		return answerHandlers[answer]();
 	}
 
-	const settlers: Readonly<Record<DutyAnswer, () => boolean | Promise<boolean>>> = {
+	const answerHandlers: Readonly<Record<DutyAnswer, () => boolean | Promise<boolean>>> = {
 		accepted: () => true,
 		// The same call would be rejected again.
 		rejected: () => true,
@@ -84,19 +87,19 @@
 
 	return {
 		async update(now) {
-			const last = findLast(now);
-			next ??= last - windowsBefore;
-			while (next <= last && options.getProof() !== undefined) {
-				// eslint-disable-next-line no-await-in-loop -- the oldest first
-				if (!await wasSent(next)) {
+			const last = findLastSettled(now);
+			nextWindow ??= last - resentWindows;
+			while (nextWindow <= last && options.getProof() !== undefined) {
+				// eslint-disable-next-line no-await-in-loop -- windows are sent in order, the oldest first
+				if (!await didReportWindow(nextWindow)) {
 					return;
 				}
 
-				next++;
+				nextWindow++;
 			}
 		},
 		start(now) {
-			next = findLast(now) - windowsBefore;
+			nextWindow = findLastSettled(now) - resentWindows;
 		},
 	};
 }
--- a/duties/usage/src/usage-reporter-options.ts
+++ b/duties/usage/src/usage-reporter-options.ts
@@ -15,12 +15,12 @@
 	*/
 	readonly getProof: () => DutyProof | undefined;
 	/**
-	Asks whether the store still names this node as the holder.
+	Checks whether the store still names this node as the holder.
 	*/
 	readonly confirm: () => Promise<boolean>;
 	readonly windowMs: number;
 	/**
-	Time after the end of a window in which the counts of other nodes arrive.
+	Time after the end of a window for the counts of other nodes to arrive.
 	*/
 	readonly settleMs: number;
 	readonly logger: Logger;
--- a/duties/usage/src/usage-reporter.ts
+++ b/duties/usage/src/usage-reporter.ts
@@ -1,13 +1,13 @@
 /**
-Reports of usage, window after window.
+Sends a usage report for each window.
 */
 export type UsageReporter = {
 	/**
-	Sends what is due at that time, in Unix milliseconds; one call at a time.
+	Sends the reports that are due at the given time, in Unix milliseconds; calls must not overlap.
 	*/
 	readonly update: (now: number) => Promise<void>;
 	/**
-	Begins anew with the windows that may not have been sent: another node held the duty before.
+	Goes back to the windows that the previous holder may not have sent; called when this node acquires the duty.
 	*/
 	readonly start: (now: number) => void;
 };
--- a/duties/usage/src/usage-row.ts
+++ b/duties/usage/src/usage-row.ts
@@ -1,4 +1,4 @@
 /**
-Requests of a client account that began in a window at a node's process, counted so far: origin, window, account, count.
+Requests of a client account that started in a window, as counted so far by one process: origin, window, account, count.
 */
 export type UsageRow = readonly [origin: string, window: number, account: string, count: number];
--- a/duties/usage/test/usage.test.ts
+++ b/duties/usage/test/usage.test.ts
@@ -14,27 +14,27 @@
 import {createMetrics} from '@valvesaddle/metrics';
 import {createUsageCounters, createUsageReporter} from '@valvesaddle/duty-usage';
 
-test('rows may come in any order, by several ways and more than once', t => {
+test('the totals do not depend on the order or repetition of rows', t => {
 	const row = tuple(constantFrom('n1', 'n2', 'n3'), integer({min: 1, max: 3}), constantFrom('sawmill', 'depot'), integer({min: 1, max: 9}));
 	assert(property(array(row), array(row), (first, second) => {
-		const book = createUsageCounters('n9');
-		book.merge(first);
-		book.merge(second);
+		const counters = createUsageCounters('n9');
+		counters.merge(first);
+		counters.merge(second);
 		const other = createUsageCounters('n9');
 		other.merge([...second, ...first, ...second]);
-		t.same(other.sum(1), book.sum(1));
-		t.same(other.sum(2), book.sum(2));
+		t.same(other.sum(1), counters.sum(1));
+		t.same(other.sum(2), counters.sum(2));
 	}));
 	t.end();
 });
 
-test('a process that has started anew adds to what was counted before it', t => {
-	const book = createUsageCounters('n1.second');
-	book.merge([['n1.first', 7, 'sawmill', 5]]);
-	book.count(7, 'sawmill');
-	t.same(book.sum(7), {sawmill: 6});
-	book.removeBefore(8);
-	t.same(book.sum(7), {});
+test('a restarted process adds to the counts of the previous one', t => {
+	const counters = createUsageCounters('n1.second');
+	counters.merge([['n1.first', 7, 'sawmill', 5]]);
+	counters.count(7, 'sawmill');
+	t.same(counters.sum(7), {sawmill: 6});
+	counters.removeBefore(8);
+	t.same(counters.sum(7), {});
 	t.end();
 });
 
@@ -69,18 +69,18 @@
 	return {reporter, sent, stored};
 }
 
-test('a window is sent once it has settled, the oldest first, and again until it is accepted', async t => {
+test('a window is sent after it has settled, the oldest first, and repeated until it is accepted', async t => {
 	const {reporter, sent} = createFixture(['busy', 'unknown', 'accepted']);
 	reporter.start(51_400);
 	for (let step = 0; step < 8; step++) {
-		// eslint-disable-next-line no-await-in-loop -- one step after the other
+		// eslint-disable-next-line no-await-in-loop -- updates run in turn
 		await reporter.update(56_400);
 	}
 
 	t.same(sent.map(({window}) => window), [4, 4, 4, 5, 6, 7, 8, 9], 'window 9 ended at 50 s; 10 has not settled');
 });
 
-test('what stands in the store is sent, whatever this node has counted, and what cannot be read is left out', async t => {
+test('stored counts are sent instead of this node\'s own, and unreadable ones are skipped', async t => {
 	const {reporter, sent} = createFixture(['accepted'], new Map([['usage/9', '{"sawmill":812}'], ['usage/8', 'no counts']]));
 	reporter.start(51_400);
 	await reporter.update(51_500);
@@ -88,12 +88,12 @@
 	t.same(sent.map(({window}) => window), [4, 5, 6, 7, 9]);
 });
 
-test('nothing is sent that could not be fixed in the store', async t => {
+test('counts that could not be written to the store are not sent', async t => {
 	const sent: UsageReport[] = [];
-	const lost = () => errAsync(new ValvesaddleError('ERR_VALVESADDLE_KV_UNAVAILABLE', 'down'));
+	const fail = () => errAsync(new ValvesaddleError('ERR_VALVESADDLE_KV_UNAVAILABLE', 'down'));
 	const reporter = createUsageReporter({
 		counters: {sum: () => ({})},
-		store: {write: lost, read: lost},
+		store: {write: fail, read: fail},
 		platform: {
 			async reportUsage(report) {
 				sent.push(report);
