--- a/duties/lease/src/create-duty-lease.ts
+++ b/duties/lease/src/create-duty-lease.ts
@@ -3,51 +3,51 @@
 import type {DutyLeaseOptions} from './duty-lease-options.ts';
 
 /**
-Part of the lease at its end in which the holder does not act: its call must arrive before another node can hold the duty.
+Share of the lease at its end in which the holder no longer acts, so that its calls arrive before another node can acquire the duty.
 */
-const marginShare = 0.2;
+const safetyMarginShare = 0.2;
 /**
-Leases after which a candidate looks for itself whether the duty is free, in case it missed the word that it is.
+Interval between attempts of a candidate, in lease durations, in case it missed the event that the duty is free.
 */
-const checkLeases = 4;
+const retryIntervalLeases = 4;
 
-type Held = {
+type HeldLease = {
 	readonly lease: string;
 	readonly token: number;
 	/**
-	Steady time until which this node may act.
+	Time on the steady clock until which this node may act.
 	*/
-	readonly until: number;
+	readonly validUntil: number;
 };
 
 /**
- Creates a node's part in holding a duty. The store's conditional write decides who holds it; the revision of that write is the
- fencing token, so tokens rise with each holder and no two holders have the same. How long the lease holds is counted from when
- its renewal was sent, on the steady clock.
+ Creates a node's lease on a duty. A conditional write to the store decides which node holds the duty. The revision of that write is
+ the fencing token, so each holder has a higher token than the previous one. The lease duration is counted on the steady clock
+ from the time a renewal is sent.
 
  @example
- const duty = createDutyLease({store, key: 'holder', holder: 'a1.7f', leaseMs: 2000, standAsideMs: 4000, logger, metrics});
+ const duty = createDutyLease({store, key: 'holder', holder: 'a1.7f', leaseMs: 2000, reacquireDelayMs: 4000, logger, metrics});
  await duty.update(true);
  duty.token(); // 12
  */
 export function createDutyLease(options: DutyLeaseOptions): DutyLease {
 	const {store, key, holder, leaseMs, logger, metrics} = options;
-	const usableMs = leaseMs * (1 - marginShare);
-	let held: Held | undefined;
-	let asideUntil = -Infinity;
+	const usableMs = leaseMs * (1 - safetyMarginShare);
+	let held: HeldLease | undefined;
+	let reacquireAt = -Infinity;
 	/**
-	Steady time from which the duty may be free for all that is known here.
+	Time on the steady clock of the next attempt, unless the duty is marked free before.
 	*/
-	let triableAt = -Infinity;
+	let nextAttemptAt = -Infinity;
 	let attempts = 0;
 	let isClosed = false;
 	/**
-	The step under way: a duty that is being taken has to be handed over too.
+	The update in progress; `release` waits for it, since it may acquire the duty.
 	*/
-	let updating: Promise<void> = Promise.resolve();
+	let currentUpdate: Promise<void> = Promise.resolve();
 
-	function getHeld(): Held | undefined {
-		return held !== undefined && performance.now() < held.until ? held : undefined;
+	function getHeld(): HeldLease | undefined {
+		return held !== undefined && performance.now() < held.validUntil ? held : undefined;
 	}
 
 	function markLost(reason: string): void {
@@ -59,8 +59,8 @@
 			name: 'duty-lost', duty: key, token: held.token, reason,
 		});
 		held = undefined;
-		// The next holder may have acted already: a third change within its time would look as if two acted by turns.
-		asideUntil = performance.now() + options.reacquireDelayMs;
+		// The next holder may have acted already; acquiring the duty again at once would look like two nodes acting alternately.
+		reacquireAt = performance.now() + options.reacquireDelayMs;
 	}
 
 	function recordFailure(step: string, error: unknown): void {
@@ -70,8 +70,8 @@
 		});
 	}
 
-	function markTaken(lease: string, token: number, sentAt: number): void {
-		held = {lease, token, until: sentAt + usableMs};
+	function markAcquired(lease: string, token: number, sentAt: number): void {
+		held = {lease, token, validUntil: sentAt + usableMs};
 		metrics.increment('duties.taken');
 		logger.info({name: 'duty-taken', duty: key, token});
 	}
@@ -84,9 +84,9 @@
 	}
 
 	/**
-	A write without an answer is this node's own if the entry has its words.
+	Reads back a write that had no answer: resolves to the revision of the entry if it has the written text.
 	*/
-	async function findOwn(text: string): Promise<number | undefined> {
+	async function findOwnWrite(text: string): Promise<number | undefined> {
 		const found = await store.read(key);
 		return found.match(entry => entry?.text === text ? entry.revision : undefined, error => {
 			recordFailure('read', error);
@@ -95,7 +95,7 @@
 	}
 
 	/**
-	Names this process as the holder, if the entry has the expected revision; resolves to the token.
+	Writes this process as the holder if the entry has the expected revision; resolves to the fencing token.
 	*/
 	async function writeHolder(step: string, expected: number, lease: string): Promise<number | undefined> {
 		attempts++;
@@ -108,12 +108,12 @@
 		}
 
 		recordFailure(step, written.error);
-		return findOwn(text);
+		return findOwnWrite(text);
 	}
 
-	async function take(): Promise<void> {
+	async function acquireLease(): Promise<void> {
 		const sentAt = performance.now();
-		triableAt = sentAt + (checkLeases * leaseMs);
+		nextAttemptAt = sentAt + (retryIntervalLeases * leaseMs);
 		const opened = await store.openLease(leaseMs);
 		if (opened.isErr()) {
 			recordFailure('lease', opened.error);
@@ -125,59 +125,59 @@
 		if (token === undefined) {
 			await releaseLease(lease);
 		} else {
-			markTaken(lease, token, sentAt);
+			markAcquired(lease, token, sentAt);
 		}
 	}
 
-	async function updateHeld(current: Held): Promise<void> {
+	async function updateLease(current: HeldLease): Promise<void> {
 		const sentAt = performance.now();
 		const renewed = await store.renew(current.lease);
 		renewed.match(isHeld => {
 			if (isHeld && held !== undefined) {
-				held = {...held, until: sentAt + usableMs};
+				held = {...held, validUntil: sentAt + usableMs};
 			} else {
-				markLost('its lease has ended');
+				markLost('lease expired');
 			}
 		}, error => {
 			recordFailure('renew', error);
 		});
 	}
 
-	async function isConfirmed(): Promise<boolean> {
+	async function isStillHolder(): Promise<boolean> {
 		const current = getHeld();
 		if (current === undefined) {
 			return false;
 		}
 
 		const found = await store.read(key);
-		const isNamed = found.match(entry => entry?.revision === current.token, () => true);
-		if (!isNamed) {
-			markLost('another node holds it');
+		const isHolder = found.match(entry => entry?.revision === current.token, () => true);
+		if (!isHolder) {
+			markLost('the store does not name this node as the holder');
 		}
 
-		return isNamed;
+		return isHolder;
 	}
 
 	async function runStep(isCandidate: boolean): Promise<void> {
 		if (held !== undefined && getHeld() === undefined) {
-			markLost('its lease was not renewed in time');
+			markLost('lease was not renewed in time');
 		}
 
 		if (held !== undefined) {
-			await updateHeld(held);
-		} else if (isCandidate && !isClosed && performance.now() >= Math.max(asideUntil, triableAt)) {
-			await take();
+			await updateLease(held);
+		} else if (isCandidate && !isClosed && performance.now() >= Math.max(reacquireAt, nextAttemptAt)) {
+			await acquireLease();
 		}
 	}
 
 	return {
 		async update(isCandidate) {
-			updating = runStep(isCandidate);
-			await updating;
+			currentUpdate = runStep(isCandidate);
+			await currentUpdate;
 		},
 		token: () => getHeld()?.token,
 		markFree() {
-			triableAt = -Infinity;
+			nextAttemptAt = -Infinity;
 		},
 		async raiseToken() {
 			const current = getHeld();
@@ -187,20 +187,20 @@
 
 			const token = await writeHolder('raise', current.token, current.lease);
 			if (token === undefined || held === undefined) {
-				// Whether the entry names this node is not known, so it acts no more.
-				markLost('its token could not be raised');
+				// The write may have failed or lost its answer, so this node can no longer act as the holder.
+				markLost('fencing token could not be raised');
 				return undefined;
 			}
 
 			held = {...held, token};
 			return getHeld()?.token;
 		},
-		confirm: isConfirmed,
+		confirm: isStillHolder,
 		async release() {
 			isClosed = true;
-			await updating;
+			await currentUpdate;
 			const current = held;
-			markLost('handed over');
+			markLost('released');
 			if (current !== undefined) {
 				await releaseLease(current.lease);
 			}
--- a/duties/lease/src/duty-lease-options.ts
+++ b/duties/lease/src/duty-lease-options.ts
@@ -8,16 +8,16 @@
 export type DutyLeaseOptions = {
 	readonly store: DutyStore;
 	/**
-	Name of the entry that names the holder.
+	Key of the entry that names the holder.
 	*/
 	readonly key: string;
 	/**
-	Name of this process, which no other process ever has.
+	Unique name of this process, which is never reused.
 	*/
 	readonly holder: string;
 	readonly leaseMs: number;
 	/**
-	How long a node that held the duty leaves it to others.
+	Delay before a node that lost the duty tries to acquire it again.
 	*/
 	readonly reacquireDelayMs: number;
 	readonly logger: Logger;
--- a/duties/lease/src/duty-lease.ts
+++ b/duties/lease/src/duty-lease.ts
@@ -1,30 +1,30 @@
 /**
-A node's part in holding a duty.
+A node's lease on a duty.
 */
 export type DutyLease = {
 	/**
-	Takes the duty when it may be free, or renews it. One call at a time; to be called a few times within a lease.
+	Acquires the duty if it may be free and this node is a candidate, or renews its lease. Call it several times per lease duration;
+	calls must not overlap.
 	*/
 	readonly update: (isCandidate: boolean) => Promise<void>;
 	/**
-	The fencing token while this node holds the duty; to be asked again right before each call, since the process may have stood
-	still.
+	The fencing token while this node holds the duty. Read it right before each call, since the process may have been paused.
 	*/
 	readonly token: () => number | undefined;
 	/**
-	Notes that the entry of the holder is gone from the store.
+	Records that the holder's entry was removed from the store.
 	*/
 	readonly markFree: () => void;
 	/**
-	Takes a higher token, so that calls with the one before are refused whenever they arrive; `undefined` when that failed.
+	Acquires a higher fencing token, so that calls with the previous one are refused; `undefined` on failure.
 	*/
 	readonly raiseToken: () => Promise<number | undefined>;
 	/**
-	Whether the store still names this node as the holder; a node that it does not name stands aside.
+	Checks whether the store still names this node as the holder; if not, the duty counts as lost.
 	*/
 	readonly confirm: () => Promise<boolean>;
 	/**
-	Hands the duty over: another node may take it at once.
+	Releases the duty, so that another node can acquire it at once; later updates do not acquire it again.
 	*/
 	readonly release: () => Promise<void>;
 };
--- a/duties/lease/test/duty-lease.test.ts
+++ b/duties/lease/test/duty-lease.test.ts
@@ -10,7 +10,7 @@
 const down = () => errAsync(new ValvesaddleError('ERR_VALVESADDLE_KV_UNAVAILABLE', 'down'));
 
 /**
-A store that holds one entry; `isLost` makes its writes be done without an answer.
+Creates a store with one entry; with `isLost` it carries out writes but loses the answers.
 */
 function createStore() {
 	const state: {entry: StoredEntry | undefined; isDown: boolean; isLost: boolean; revision: number; written: number} = {
@@ -55,7 +55,7 @@
 	return clock;
 }
 
-test('the token is the revision of the entry, and holds only while renewals were sent in time', async t => {
+test('the token is the revision of the entry, and is valid only while renewals are sent in time', async t => {
 	const clock = pauseClock(t);
 	const {state, store} = createStore();
 	const lease = startLease(t, store);
@@ -69,32 +69,32 @@
 	await lease.update(true);
 	t.equal(lease.token(), 11, 'one renewal failed');
 	clock.advance(200);
-	t.equal(lease.token(), undefined, 'no longer, whether or not anything is called');
+	t.equal(lease.token(), undefined, 'expires without a call');
 });
 
-test('a node that is no candidate takes nothing', async t => {
+test('a node that is not a candidate does not acquire the duty', async t => {
 	pauseClock(t);
 	const {state, store} = createStore();
 	await startLease(t, store).update(false);
 	t.equal(state.written, 0);
 });
 
-test('a creation without an answer is this process’s own only if the entry names it', async t => {
+test('a write without an answer acquires the duty only if the entry names this process', async t => {
 	pauseClock(t);
 	const {state, store} = createStore();
 	state.isLost = true;
-	const mine = startLease(t, store);
-	await mine.update(true);
-	t.equal(mine.token(), 11);
+	const ownLease = startLease(t, store);
+	await ownLease.update(true);
+	t.equal(ownLease.token(), 11);
 
 	const other = createStore();
 	other.state.entry = {text: '{"holder":"n1.before","attempt":1}', revision: 7};
-	const lease = startLease(t, other.store);
-	await lease.update(true);
-	t.equal(lease.token(), undefined);
+	const otherLease = startLease(t, other.store);
+	await otherLease.update(true);
+	t.equal(otherLease.token(), undefined);
 });
 
-test('a holder that has lost the duty leaves it to others for a while', async t => {
+test('a node that lost the duty acquires it again only after a delay', async t => {
 	const clock = pauseClock(t);
 	const {state, store} = createStore();
 	const lease = startLease(t, store);
@@ -105,13 +105,13 @@
 	lease.markFree();
 	clock.advance(3900);
 	await lease.update(true);
-	t.equal(lease.token(), undefined, 'aside');
+	t.equal(lease.token(), undefined, 'within the delay');
 	clock.advance(200);
 	await lease.update(true);
 	t.equal(lease.token(), 12);
 });
 
-test('a raised token is higher, and one that cannot be raised is not used again', async t => {
+test('a raised token is higher, and a token that cannot be raised is not used again', async t => {
 	pauseClock(t);
 	const {state, store} = createStore();
 	const lease = startLease(t, store);
@@ -123,7 +123,7 @@
 	t.equal(lease.token(), undefined);
 });
 
-test('a node that the store names no longer does not act', async t => {
+test('a node that the store no longer names as the holder does not act', async t => {
 	pauseClock(t);
 	const {state, store} = createStore();
 	const lease = startLease(t, store);
@@ -134,7 +134,7 @@
 	t.equal(lease.token(), undefined);
 });
 
-test('a node that leaves hands over at once and takes nothing more', async t => {
+test('a node that shuts down releases the duty at once and does not acquire it again', async t => {
 	pauseClock(t);
 	const {state, store} = createStore();
 	const lease = startLease(t, store);
@@ -146,16 +146,15 @@
 });
 
 /**
-The entry was in the store, but the answer to the node's write was still on its way when the node was told to leave: it then
-held nothing that it could hand over, and the entry stayed until its lease lapsed.
+Guards against a release that runs before the answer to the acquiring write: the entry would stay until its lease expires.
 */
-test('a duty that is being taken when the node leaves is handed over too', async t => {
+test('a duty that is being acquired when the node shuts down is released too', async t => {
 	pauseClock(t);
 	const {state, store} = createStore();
 	const lease = startLease(t, store);
-	const taking = lease.update(true);
-	const leaving = lease.release();
-	await Promise.all([taking, leaving]);
+	const acquiring = lease.update(true);
+	const releasing = lease.release();
+	await Promise.all([acquiring, releasing]);
 	t.equal(state.entry, undefined);
 	t.equal(lease.token(), undefined);
 });
