--- a/emulator/duties/src/check-duties.ts
+++ b/emulator/duties/src/check-duties.ts
@@ -14,81 +14,87 @@
 };
 
 /**
-Time within which a duty may not change hands to and fro, and for which a node must be out of trouble for that, in milliseconds.
+Time within which a duty must not move to another node and back, and after which a refused fencing token must not be used.
 */
-const turnMs = 3000;
-const touchMs = 4000;
+const alternationMs = 3000;
 /**
-Time after the end of a window within which its report is due, and windows at the end of the calm that must all be there.
+Time before a call in which no fault may have affected its node for the call to count as an alternation.
 */
-const dueMs = 10_000;
-const calmWindows = 3;
+const undisturbedMs = 4000;
 /**
-Replicas when nothing is open: half of the most in steps of eight, 32, and half of the 29 spot ones among them again, for the loss of
+Time after the end of a window within which its report is due.
+*/
+const reportDueMs = 10_000;
+/**
+Number of last windows that must have been reported.
+*/
+const finalWindows = 3;
+/**
+Replicas without load: the minimum of 30, rounded up to 32, and a spot reserve of 15, half of the 29 spot replicas, for the loss of
 one of three data centres.
 */
-const calmReplicas = 47;
+const finalReplicas = 47;
 
 /**
- Checks what the platform saw against what must hold.
+ Checks the calls and replicas of a run against the rules of the duties; returns the violations.
 
  @example
- checkDuties(facts); // [] when all was kept
+ checkDuties(trace); // [] without violations
  */
-export function checkDuties(facts: DutyTrace): readonly string[] {
+export function checkDuties(trace: DutyTrace): readonly string[] {
 	return [
-		...checkTokens(facts),
-		...checkTurns(facts),
-		...checkRefused(facts),
-		...checkReports(facts),
-		...checkReplicas(facts),
+		...checkTokens(trace),
+		...checkAlternation(trace),
+		...checkRefused(trace),
+		...checkReports(trace),
+		...checkReplicas(trace),
 	];
 }
 
 function checkTokens({calls}: DutyTrace): readonly string[] {
 	const owners = new Map<number, number>();
-	return calls.flatMap(({token, node: machine, at}) => {
-		const owner = owners.get(token) ?? machine;
+	return calls.flatMap(({token, node, at}) => {
+		const owner = owners.get(token) ?? node;
 		owners.set(token, owner);
-		return owner === machine ? [] : [`token ${token} of node ${owner} used by node ${machine} at ${at}`];
+		return owner === node ? [] : [`token ${token} of node ${owner} used by node ${node} at ${at}`];
 	});
 }
 
 /**
-What was accepted of A, B and A again, while both were out of trouble.
+Finds accepted calls of nodes A, B and A again within a short time, although no fault affected either node.
 */
-function checkTurns({calls, faults}: DutyTrace): readonly string[] {
+function checkAlternation({calls, faults}: DutyTrace): readonly string[] {
 	return listSubjects(calls).flatMap(subject => {
 		const accepted = calls.filter(call => call.subject === subject && call.isAccepted);
-		const turns = accepted.filter((call, index) => call.node !== accepted[index - 1]?.node);
-		return turns.flatMap((call, index) => {
-			const before = turns[index - 2];
-			const between = turns[index - 1];
-			const isBack = before?.node === call.node && between !== undefined && call.at - before.at <= turnMs;
-			const isTouched = [before, between, call].some(one => one !== undefined && faults.wasAffected(one.node, touchMs, one.at));
-			return isBack && !isTouched ? [`${subject}: node ${call.node} again at ${call.at}, ${call.at - before.at} ms after its turn`] : [];
+		const changes = accepted.filter((call, index) => call.node !== accepted[index - 1]?.node);
+		return changes.flatMap((call, index) => {
+			const previous = changes[index - 2];
+			const between = changes[index - 1];
+			const hasReturned = previous?.node === call.node && between !== undefined && call.at - previous.at <= alternationMs;
+			const isDisturbed = [previous, between, call].some(one => one !== undefined && faults.wasAffected(one.node, undisturbedMs, one.at));
+			return hasReturned && !isDisturbed ? [`${subject}: node ${call.node} acts again at ${call.at}, ${call.at - previous.at} ms after its previous term began`] : [];
 		});
 	});
 }
 
 function checkRefused({calls}: DutyTrace): readonly string[] {
-	const refusals = calls.filter(({isStale: isOutdated}) => isOutdated);
-	return refusals.flatMap(refusal => calls.filter(call => call.node === refusal.node && call.subject === refusal.subject && call.token === refusal.token && call.at > refusal.at + turnMs).map(({at, token}) => `token ${token}, refused at ${refusal.at}, used again at ${at}`));
+	const refusals = calls.filter(({isStale}) => isStale);
+	return refusals.flatMap(refusal => calls.filter(call => call.node === refusal.node && call.subject === refusal.subject && call.token === refusal.token && call.at > refusal.at + alternationMs).map(({at, token}) => `token ${token}, refused at ${refusal.at}, used again at ${at}`));
 }
 
 function checkReports({reports, endMs, windowMs}: DutyTrace): readonly string[] {
-	const twice = [...reports].filter(([, contents]) => contents.size > 1).map(([window]) => `window ${window} accepted with different counts`);
-	const last = Math.floor((endMs - dueMs) / windowMs) - 1;
-	const missing = Array.from({length: calmWindows}, (_value, index) => last - index).filter(window => !reports.has(window));
-	return [...twice, ...missing.map(window => `window ${window} was not reported`)];
+	const conflicting = [...reports].filter(([, contents]) => contents.size > 1).map(([window]) => `window ${window} accepted with different counts`);
+	const last = Math.floor((endMs - reportDueMs) / windowMs) - 1;
+	const missing = Array.from({length: finalWindows}, (_value, index) => last - index).filter(window => !reports.has(window));
+	return [...conflicting, ...missing.map(window => `window ${window} was not reported`)];
 }
 
 function checkReplicas({replicas, scaling}: DutyTrace): readonly string[] {
 	const total = replicas.reduce((sum, {count}) => sum + count, 0);
-	const over = Object.keys(scaling.prices).filter(place => replicas.filter(({dataCentre}) => dataCentre === place).reduce((sum, {count}) => sum + count, 0) > scaling.most);
+	const overLimit = Object.keys(scaling.prices).filter(place => replicas.filter(({dataCentre}) => dataCentre === place).reduce((sum, {count}) => sum + count, 0) > scaling.most);
 	return [
-		...over.map(place => `more than ${scaling.most} replicas in ${place}`),
-		...(total === calmReplicas ? [] : [`${total} replicas in the end in place of ${calmReplicas}`]),
+		...overLimit.map(place => `more than ${scaling.most} replicas in ${place}`),
+		...(total === finalReplicas ? [] : [`${total} replicas at the end instead of ${finalReplicas}`]),
 	];
 }
 
--- a/emulator/duties/src/create-emulated-duty-platform.ts
+++ b/emulator/duties/src/create-emulated-duty-platform.ts
@@ -10,14 +10,14 @@
 	readonly faults: FaultSchedule;
 	readonly random: () => number;
 	/**
-	Data centre that a fault of spot replicas strikes.
+	Data centre that the fault `no-spot` affects.
 	*/
-	readonly dryDataCentre: string;
-	readonly first: readonly ReplicaCount[];
+	readonly noSpotDataCentre: string;
+	readonly initialReplicas: readonly ReplicaCount[];
 };
 
 type Call = {
-	readonly machine: number;
+	readonly node: number;
 	readonly proof: DutyProof;
 	readonly subject: string;
 	readonly carryOut: () => boolean;
@@ -25,42 +25,42 @@
 
 const answerMs = 6;
 const timeoutMs = 1200;
-const latestMs = 4000;
+const maximumDelayMs = 4000;
 const lostShare = 0.4;
 const bootMs = 4000;
 
 /**
- Creates an emulated platform: it refuses a token that is lower than one it has seen for the subject, at the time at which a call
- is carried out.
+ Creates an emulated platform. It refuses a call whose fencing token is lower than one it has seen for the same subject when the
+ call is processed.
 
  @example
- const platform = createEmulatedDutyPlatform({runtime, faults, random, dryDataCentre: 'a', first: []});
+ const platform = createEmulatedDutyPlatform({runtime, faults, random, noSpotDataCentre: 'a', initialReplicas: []});
  */
-export function createEmulatedDutyPlatform({runtime, faults, random, dryDataCentre, first}: PlatformOptions): EmulatedDutyPlatform {
+export function createEmulatedDutyPlatform({runtime, faults, random, noSpotDataCentre, initialReplicas}: PlatformOptions): EmulatedDutyPlatform {
 	const calls: DutyCall[] = [];
 	const reports = new Map<number, Set<string>>();
 	const tokens = new Map<string, number>();
-	const replicas = new Map(first.map(one => [toKey(one), one]));
+	const replicas = new Map(initialReplicas.map(one => [toKey(one), one]));
 
-	function applyCall({machine, proof, subject, carryOut}: Call): DutyAnswer {
-		const isOutdated = proof.token < (tokens.get(subject) ?? 0);
+	function applyCall({node, proof, subject, carryOut}: Call): DutyAnswer {
+		const isStale = proof.token < (tokens.get(subject) ?? 0);
 		tokens.set(subject, Math.max(proof.token, tokens.get(subject) ?? 0));
-		const isAccepted = !isOutdated && carryOut();
+		const isAccepted = !isStale && carryOut();
 		calls.push({
-			at: runtime.now(), node: machine, token: proof.token, subject, isAccepted, isStale: isOutdated,
+			at: runtime.now(), node, token: proof.token, subject, isAccepted, isStale,
 		});
 		return isAccepted ? 'accepted' : 'refused';
 	}
 
 	async function send(call: Call): Promise<DutyAnswer> {
-		const {machine} = call;
-		const arrivesAt = Math.max(faults.findEnd('freeze', machine), runtime.now()) + (answerMs / 2);
+		const {node} = call;
+		const arrivesAt = Math.max(faults.findEnd('freeze', node), runtime.now()) + (answerMs / 2);
 		const {promise, resolve} = Promise.withResolvers<DutyAnswer>();
 		runtime.add(arrivesAt, () => {
 			if (faults.isActive('platform-busy')) {
 				resolve('busy');
 			} else if (faults.isActive('platform-loses') && random() < lostShare) {
-				runtime.add(arrivesAt + (random() * latestMs), () => {
+				runtime.add(arrivesAt + (random() * maximumDelayMs), () => {
 					applyCall(call);
 				});
 				runtime.add(arrivesAt + timeoutMs, () => {
@@ -78,7 +78,7 @@
 
 	function updateSpot(): void {
 		if (faults.isActive('no-spot')) {
-			replicas.delete(toKey({dataCentre: dryDataCentre, isSpot: true}));
+			replicas.delete(toKey({dataCentre: noSpotDataCentre, isSpot: true}));
 		}
 
 		runtime.add(runtime.now() + 100, updateSpot);
@@ -90,30 +90,30 @@
 		calls,
 		reports,
 		listReplicas: () => replicas.values().filter(({count}) => count > 0).toArray(),
-		connect: machine => ({
+		connect: node => ({
 			reportUsage: async ({window, counts}, proof) => send({
-				machine, proof, subject: 'usage', carryOut() {
+				node, proof, subject: 'usage', carryOut() {
 					const contents = reports.get(window) ?? new Set<string>();
 					reports.set(window, contents.add(JSON.stringify(counts)));
 					return true;
 				},
 			}),
 			orderReplicas: async ({pool, dataCentre, isSpot, count}, proof) => send({
-				machine, proof, subject: `${pool} ${dataCentre}`, carryOut() {
-					if (isSpot && dataCentre === dryDataCentre && faults.isActive('no-spot')) {
+				node, proof, subject: `${pool} ${dataCentre}`, carryOut() {
+					if (isSpot && dataCentre === noSpotDataCentre && faults.isActive('no-spot')) {
 						return false;
 					}
 
 					const key = toKey({dataCentre, isSpot});
-					const before = replicas.get(key)?.count ?? 0;
-					runtime.add(runtime.now() + (count > before ? bootMs : 0), () => {
+					const previous = replicas.get(key)?.count ?? 0;
+					runtime.add(runtime.now() + (count > previous ? bootMs : 0), () => {
 						replicas.set(key, {dataCentre, isSpot, count});
 					});
 					return true;
 				},
 			}),
 			async close() {
-				// It has no connections.
+				// There are no connections to close.
 			},
 		}),
 	};
--- a/emulator/duties/src/create-emulated-duty-store.ts
+++ b/emulator/duties/src/create-emulated-duty-store.ts
@@ -11,22 +11,22 @@
 	readonly faults: FaultSchedule;
 	readonly random: () => number;
 	/**
-	Told of entries that are gone.
+	Called with the key of each removed entry.
 	*/
 	readonly onRemoved: (key: string) => void;
 };
 
 /**
-Time for an answer, the time after which a caller gives up, and the longest time after which a lost call is carried out, in
+Round trip of a call, timeout of its caller, and longest delay after which a call without an answer is carried out, in
 milliseconds.
 */
 const answerMs = 4;
 const timeoutMs = 1000;
-const latestMs = 3500;
+const maximumDelayMs = 3500;
 const lostShare = 0.4;
 
 /**
- Creates an emulated store for duties. `connect` gives a node its client.
+ Creates an emulated key-value store for duties. `connect` returns the client of a node.
 
  @example
  const store = createEmulatedDutyStore({runtime, faults, random, onRemoved() {}});
@@ -34,7 +34,7 @@
  */
 export function createEmulatedDutyStore({runtime, faults, random, onRemoved}: StoreOptions): {readonly connect: (node: number) => DutyStore} {
 	const entries = new Map<string, Entry>();
-	const leases = new Map<string, {readonly until: number; readonly ms: number}>();
+	const leases = new Map<string, {readonly expiresAt: number; readonly durationMs: number}>();
 	let revision = 1;
 	let lastLease = 0;
 
@@ -44,7 +44,7 @@
 		onRemoved(key);
 	}
 
-	function endLease(lease: string): void {
+	function closeLease(lease: string): void {
 		leases.delete(lease);
 		for (const [key, entry] of entries) {
 			if (entry.lease === lease) {
@@ -54,9 +54,9 @@
 	}
 
 	function updateLeases(): void {
-		for (const [lease, {until}] of leases) {
-			if (runtime.now() >= until) {
-				endLease(lease);
+		for (const [lease, {expiresAt}] of leases) {
+			if (runtime.now() >= expiresAt) {
+				closeLease(lease);
 			}
 		}
 	}
@@ -83,7 +83,7 @@
 			if (faults.isActive('store-down') || faults.isActive('store-refuses', node)) {
 				reject(new ValvesaddleError('ERR_VALVESADDLE_KV_UNAVAILABLE', 'refused'));
 			} else if (faults.isActive('store-loses') && random() < lostShare) {
-				runtime.add(sentAt + (random() * latestMs), () => {
+				runtime.add(sentAt + (random() * maximumDelayMs), () => {
 					updateLeases();
 					carryOut();
 				});
@@ -102,31 +102,31 @@
 
 	const toResult = <Value>(promise: Promise<Value>) => ResultAsync.fromPromise(promise, error => error as ValvesaddleError);
 
-	// Leases end by themselves also when nobody calls.
-	function runLeases(): void {
+	// Leases expire also while there are no calls.
+	function startLeaseExpiry(): void {
 		updateLeases();
-		runtime.add(runtime.now() + 20, runLeases);
+		runtime.add(runtime.now() + 20, startLeaseExpiry);
 	}
 
-	runLeases();
+	startLeaseExpiry();
 
 	return {
 		connect: node => ({
 			openLease: leaseMs => toResult(call(node, () => {
 				lastLease++;
-				leases.set(String(lastLease), {until: runtime.now() + leaseMs, ms: leaseMs});
+				leases.set(String(lastLease), {expiresAt: runtime.now() + leaseMs, durationMs: leaseMs});
 				return String(lastLease);
 			})),
 			renew: lease => toResult(call(node, () => {
 				const held = leases.get(lease);
 				if (held !== undefined) {
-					leases.set(lease, {...held, until: runtime.now() + held.ms});
+					leases.set(lease, {...held, expiresAt: runtime.now() + held.durationMs});
 				}
 
 				return held !== undefined;
 			})),
 			release: lease => toResult(call(node, () => {
-				endLease(lease);
+				closeLease(lease);
 			})),
 			write: entry => toResult(call(node, () => write(entry))),
 			read: key => key === '' ? errAsync(new ValvesaddleError('ERR_VALVESADDLE_KV_UNAVAILABLE', 'no key')) : toResult(call(node, () => entries.get(key))),
--- a/emulator/duties/src/create-fault-schedule.ts
+++ b/emulator/duties/src/create-fault-schedule.ts
@@ -4,10 +4,10 @@
 const nodeFaults: ReadonlySet<DutyFault['kind']> = new Set(['freeze', 'kill', 'store-refuses']);
 
 /**
- Creates the book of the faults of a run.
+ Creates the fault schedule of a run.
 
  @example
- const faults = createFaultBook([{kind: 'store-down', node: 0, at: 100, until: 900}], () => 500);
+ const faults = createFaultSchedule([{kind: 'store-down', node: 0, at: 100, until: 900}], () => 500);
  faults.isActive('store-down'); // true
  */
 export function createFaultSchedule(faults: readonly DutyFault[], now: () => number): FaultSchedule {
--- a/emulator/duties/src/duty-call.ts
+++ b/emulator/duties/src/duty-call.ts
@@ -1,5 +1,5 @@
 /**
-A call as the platform carried it out.
+A call as the platform processed it.
 */
 export type DutyCall = {
 	readonly at: number;
@@ -8,7 +8,7 @@
 	readonly subject: string;
 	readonly isAccepted: boolean;
 	/**
-	Whether a higher token had been seen.
+	Whether the platform had seen a higher fencing token.
 	*/
 	readonly isStale: boolean;
 };
--- a/emulator/duties/src/emulated-duty-platform.ts
+++ b/emulator/duties/src/emulated-duty-platform.ts
@@ -3,20 +3,20 @@
 import type {DutyCall} from './duty-call.ts';
 
 /**
-An emulated platform that asks for duties.
+An emulated platform that offers duties.
 */
 export type EmulatedDutyPlatform = {
-	readonly connect: (machine: number) => DutyPlatform;
+	readonly connect: (node: number) => DutyPlatform;
 	/**
-	All calls that were carried out.
+	All calls that were processed, in order.
 	*/
 	readonly calls: readonly DutyCall[];
 	/**
-	Contents that were accepted, by window.
+	Accepted usage reports, as JSON of their counts, by window.
 	*/
 	readonly reports: ReadonlyMap<number, ReadonlySet<string>>;
 	/**
-	Replicas that serve.
+	Ready replicas.
 	*/
 	readonly listReplicas: () => readonly ReplicaCount[];
 };
--- a/emulator/duties/src/fault-schedule.ts
+++ b/emulator/duties/src/fault-schedule.ts
@@ -1,19 +1,19 @@
 import type {DutyFault} from './duty-fault.ts';
 
 /**
-Which faults act.
+The faults of a run and their times.
 */
 export type FaultSchedule = {
 	/**
-	Whether a fault of the kind acts now, on that node if it concerns one.
+	Whether a fault of the kind is active now; with `node`, only faults of that node count.
 	*/
 	readonly isActive: (kind: DutyFault['kind'], node?: number) => boolean;
 	/**
-	Time at which the last fault of a kind on a node ends, if one acts now; now otherwise.
+	Time at which the last active fault of the kind on the node ends; the current time if there is none.
 	*/
 	readonly findEnd: (kind: DutyFault['kind'], node: number) => number;
 	/**
-	Whether any fault has touched a node, the store or the platform within the last milliseconds.
+	Whether a fault affected the node, the store or the platform at the given time or up to `withinMs` before it.
 	*/
 	readonly wasAffected: (node: number, withinMs: number, at: number) => boolean;
 };
--- a/emulator/duties/src/run-duties.ts
+++ b/emulator/duties/src/run-duties.ts
@@ -28,23 +28,23 @@
 
 const nodeCount = 4;
 /**
-Time for which faults may come, and the calm after them, in milliseconds.
+Duration of the phase with faults and of the phase without faults after it, in milliseconds.
 */
-const faultyMs = 40_000;
-const calmMs = 30_000;
+const faultPhaseMs = 40_000;
+const recoveryPhaseMs = 30_000;
 const windowMs = 5000;
 const leaseMs = 2000;
-const standAsideMs = 4000;
+const reacquireDelayMs = 4000;
 const renewMs = 500;
 const stepMs = 500;
 const settleMs = 1500;
 const scaling: PoolScaling = {
 	least: 1, most: 20, bootMs: 4000, spotPrice: 0.2, prices: {a: 1, b: 0.8, c: 1.2},
 };
-const first = Object.keys(scaling.prices).map(dataCentre => ({dataCentre, isSpot: false, count: 10}));
+const initialReplicas = Object.keys(scaling.prices).map(dataCentre => ({dataCentre, isSpot: false, count: 10}));
 
 /**
- Runs four candidates for the duties under faults, and checks what the platform saw.
+ Runs four candidates for the duties under faults, and checks the calls that reached the platform.
 
  @example
  const {breaches} = await runDuties({seed: 7, faults: [{kind: 'kill', node: 0, at: 3000, until: 5000}]});
@@ -62,38 +62,38 @@
 		},
 	});
 	const platform = createEmulatedDutyPlatform({
-		runtime, faults, random, dryDataCentre: 'b', first,
+		runtime, faults, random, noSpotDataCentre: 'b', initialReplicas,
 	});
 	const logger = createLogger({node: 'n', level: 'silent'});
 	const metrics = createMetrics();
 	const holders = new Set<number>();
-	let processes = 0;
+	let startedProcesses = 0;
 
-	function startNode(machine: number): Node {
-		processes++;
-		const client = store.connect(machine);
+	function startNode(nodeIndex: number): Node {
+		startedProcesses++;
+		const client = store.connect(nodeIndex);
 		const lease = createDutyLease({
-			store: client, key: 'holder', holder: `n${machine}.${processes}`, leaseMs, reacquireDelayMs: standAsideMs, logger, metrics,
+			store: client, key: 'holder', holder: `n${nodeIndex}.${startedProcesses}`, leaseMs, reacquireDelayMs, logger, metrics,
 		});
 		const getProof = (): DutyProof | undefined => {
 			const token = lease.token();
-			return token === undefined ? undefined : {holder: `n${machine}`, token};
+			return token === undefined ? undefined : {holder: `n${nodeIndex}`, token};
 		};
 
-		// Nodes have heard different counts when they close a window.
-		const book = createUsageCounters(`n${machine}`);
+		// Each node has different counts, as if rows of other nodes were missing.
+		const counters = createUsageCounters(`n${nodeIndex}`);
 		const reporter = createUsageReporter({
-			counters: {sum: window => ({...book.sum(window), sawmill: 100 + machine})}, store: client, platform: platform.connect(machine), getProof, confirm: lease.confirm, windowMs, settleMs, logger, metrics,
+			counters: {sum: window => ({...counters.sum(window), sawmill: 100 + nodeIndex})}, store: client, platform: platform.connect(nodeIndex), getProof, confirm: lease.confirm, windowMs, settleMs, logger, metrics,
 		});
 		const scaler = createScaler({
-			platform: platform.connect(machine),
+			platform: platform.connect(nodeIndex),
 			getProof,
 			confirm: lease.confirm,
 			raiseToken: lease.raiseToken,
 			listPools: () => [{name: 'drafting', engine: undefined, scaling}],
 			countReady: platform.listReplicas,
 			measurePoolLoad: () => ({
-				open: runtime.now() < faultyMs ? 100 * random() : 0, placedTokens: 0, tokensPerMs: 50, slots: 12,
+				open: runtime.now() < faultPhaseMs ? 100 * random() : 0, placedTokens: 0, tokensPerMs: 50, slots: 12,
 			}),
 			minimumShare: 0.5,
 			logger,
@@ -104,17 +104,17 @@
 		};
 	}
 
-	function runRepeatedly(node: Node, machine: number, pauseMs: number, step: () => Promise<void>): void {
+	function runRepeatedly(node: Node, nodeIndex: number, intervalMs: number, step: () => Promise<void>): void {
 		async function runStep(): Promise<void> {
 			if (node.isStopped) {
 				return;
 			}
 
-			if (!faults.isActive('freeze', machine)) {
+			if (!faults.isActive('freeze', nodeIndex)) {
 				await step();
 			}
 
-			runtime.add(runtime.now() + pauseMs, () => {
+			runtime.add(runtime.now() + intervalMs, () => {
 				void runStep();
 			});
 		}
@@ -122,14 +122,14 @@
 		void runStep();
 	}
 
-	function runNode(machine: number): void {
-		const node = startNode(machine);
-		nodes[machine] = node;
-		runRepeatedly(node, machine, renewMs, async () => {
-			const before = node.lease.token();
+	function runNode(nodeIndex: number): void {
+		const node = startNode(nodeIndex);
+		nodes[nodeIndex] = node;
+		runRepeatedly(node, nodeIndex, renewMs, async () => {
+			const previousToken = node.lease.token();
 			await node.lease.update(true);
 			const token = node.lease.token();
-			if (before !== undefined || token === undefined) {
+			if (previousToken !== undefined || token === undefined) {
 				return;
 			}
 
@@ -137,13 +137,13 @@
 			node.reporter.start(runtime.now());
 			node.scaler.start();
 		});
-		runRepeatedly(node, machine, stepMs, async () => node.lease.token() === undefined ? undefined : node.scaler.update());
-		runRepeatedly(node, machine, stepMs, async () => node.lease.token() === undefined ? undefined : node.reporter.update(runtime.now()));
+		runRepeatedly(node, nodeIndex, stepMs, async () => node.lease.token() === undefined ? undefined : node.scaler.update());
+		runRepeatedly(node, nodeIndex, stepMs, async () => node.lease.token() === undefined ? undefined : node.reporter.update(runtime.now()));
 	}
 
-	for (let machine = 0; machine < nodeCount; machine++) {
+	for (let nodeIndex = 0; nodeIndex < nodeCount; nodeIndex++) {
 		runtime.add(10 + (200 * random()), () => {
-			runNode(machine);
+			runNode(nodeIndex);
 		});
 	}
 
@@ -160,7 +160,7 @@
 		});
 	}
 
-	await runtime.advance(faultyMs + calmMs);
+	await runtime.advance(faultPhaseMs + recoveryPhaseMs);
 	for (const node of nodes) {
 		node.isStopped = true;
 	}
@@ -168,7 +168,7 @@
 	runtime.close();
 	return {
 		violations: checkDuties({
-			calls: platform.calls, reports: platform.reports, replicas: platform.listReplicas(), faults, scaling, endMs: faultyMs + calmMs, windowMs,
+			calls: platform.calls, reports: platform.reports, replicas: platform.listReplicas(), faults, scaling, endMs: faultPhaseMs + recoveryPhaseMs, windowMs,
 		}),
 		calls: platform.calls.length,
 		holders: holders.size,
