--- a/duties/scaling/src/create-order-planner.ts
+++ b/duties/scaling/src/create-order-planner.ts
@@ -15,7 +15,7 @@
 */
 const spotRetryDelayMs = 4000;
 /**
-Time after booting within which new replicas are listed.
+Time allowed after booting until new replicas are listed.
 */
 const listingDelayMs = 2500;
 
@@ -37,8 +37,8 @@
 	}
 
 	/**
-	Repeats an accepted order if the number of ready replicas still differs after the boot time: replicas may have been reclaimed, or
-	an earlier order may have been carried out late.
+	Whether an order is new, or has to be repeated since the number of ready replicas still differs after the boot time: replicas may
+	have been reclaimed, or an earlier order may have been carried out late.
 	*/
 	function isDue({pool, dataCentre, isSpot, count}: ReplicaOrder, ready: number, bootMs: number): boolean {
 		const previous = accepted.get(toKey({pool, dataCentre, isSpot}));
