--- a/duties/scaling/src/replica-plan.ts
+++ b/duties/scaling/src/replica-plan.ts
@@ -1,8 +1,8 @@
 /**
-Replicas that a data centre shall run, by kind.
+Planned replicas of a data centre, by kind.
 */
 export type ReplicaPlan = {
 	readonly dataCentre: string;
-	readonly usual: number;
+	readonly onDemand: number;
 	readonly spot: number;
 };
--- a/emulator/duties/src/duty-call.ts
+++ b/emulator/duties/src/duty-call.ts
@@ -1,14 +1,14 @@
 /**
-A call as the platform carried it out.
+A call as the platform processed it.
 */
 export type DutyCall = {
 	readonly at: number;
-	readonly machine: number;
+	readonly node: number;
 	readonly token: number;
 	readonly subject: string;
 	readonly isAccepted: boolean;
 	/**
-	Whether a higher token had been seen.
+	Whether the platform had seen a higher fencing token.
 	*/
-	readonly isOutdated: boolean;
+	readonly isStale: boolean;
 };
--- a/node/gateway/src/usage-sync.ts
+++ b/node/gateway/src/usage-sync.ts
@@ -1,4 +1,4 @@
-import type {UsageBook} from '@valvesaddle/duty-usage';
+import type {UsageCounters} from '@valvesaddle/duty-usage';
 
 /**
 Exchange of usage counts with peers.
@@ -19,7 +19,7 @@
 	/**
 	Counters of this node and its peers.
 	*/
-	readonly counters: UsageBook;
+	readonly counters: UsageCounters;
 	/**
 	Applies a peer's message; throws `ZodError` if it is malformed.
 	*/
