--- a/gateway/exchange/src/create-exchange-client.ts
+++ b/gateway/exchange/src/create-exchange-client.ts
@@ -44,7 +44,7 @@
 				onRequestStart(started) {
 					controller = started;
 					if (hasEnded || canSend?.() === false) {
-						started.abort(new Error('cancelled before sending'));
+						started.abort(new Error('held back'));
 						return;
 					}
 
--- a/gateway/forwarding/src/create-attempt.ts
+++ b/gateway/forwarding/src/create-attempt.ts
@@ -28,10 +28,10 @@
 	let sentAt: number | undefined;
 
 	openRequest.onStalled(() => {
-		events.onEndpointLost('endpoint stalled for all nodes');
+		events.onEndpointLost('silent to all nodes');
 	});
 	openRequest.onEnded(() => {
-		events.onEndpointLost('endpoint process terminated');
+		events.onEndpointLost('its process has ended');
 	});
 
 	function end(outcome: 'failed' | 'cancelled'): void {
@@ -68,7 +68,7 @@
 
 		current.bytes += chunk.length;
 		if (current.bytes > maximumBufferedBytes) {
-			failAttempt(`answer larger than ${maximumBufferedBytes} bytes`);
+			failAttempt(`answer of over ${maximumBufferedBytes} bytes`);
 			return 'more';
 		}
 
@@ -94,17 +94,17 @@
 		if (answerClass === 'not-run' || answerClass === 'misdirected') {
 			openRequest.close(answerClass === 'misdirected' ? 'gone' : 'rejected');
 			events.onNotRun();
-			events.onFailure({reason: `refused with status ${status}`, mayHaveRun: false});
+			events.onFailure({reason: `refused with ${status}`, mayHaveRun: false});
 		} else if (answerClass === 'run-failed') {
 			openRequest.close('failed');
-			events.onFailure({reason: `failed with status ${status}`, mayHaveRun: true, answer: completed});
+			events.onFailure({reason: `failed with ${status}`, mayHaveRun: true, answer: completed});
 		} else if (answerClass === 'stream' && writer.hasPartialEvent()) {
 			openRequest.close('failed');
-			events.onFailure({reason: 'the stream ended in the middle of an event', mayHaveRun: true});
+			events.onFailure({reason: 'the stream ended within an event', mayHaveRun: true});
 		} else if (answerClass === 'whole' && writer.isStarted()) {
 			// The caller has already received the head of a stream, which only another stream can continue.
 			openRequest.close('failed');
-			events.onFailure({reason: `expected the rest of a stream, received a single answer with status ${status}`, mayHaveRun: true});
+			events.onFailure({reason: `a stream went on as a whole answer ${status}`, mayHaveRun: true});
 		} else {
 			openRequest.close('done');
 			events.onAnswer(completed);
@@ -147,7 +147,7 @@
 				writer.start(answer);
 			} else if (answerClass === 'untrusted') {
 				// The rest of the data on this connection may belong to another request's answer.
-				failAttempt(`untrusted answer with status ${status}`);
+				failAttempt(`untrusted answer ${status}`);
 			}
 		},
 		onData(chunk) {
--- a/gateway/forwarding/src/create-refusals.ts
+++ b/gateway/forwarding/src/create-refusals.ts
@@ -32,7 +32,7 @@
 	return {
 		buildNoEndpoint: attempts => new ValvesaddleError(
 			attempts === 0 ? 'ERR_VALVESADDLE_NO_ENDPOINT' : 'ERR_VALVESADDLE_ENDPOINTS_BUSY',
-			`${attempts} endpoint(s) tried in pool ${pool}`,
+			`${attempts} of ${pool} tried`,
 			{retryAfterMs: drawRetryAfterMs()},
 		),
 		buildOverloaded: (predictedMs, retryAfterMs) => new ValvesaddleError('ERR_VALVESADDLE_OVERLOADED', `first token predicted after ${Math.round(predictedMs)} ms`, {retryAfterMs}),
--- a/gateway/front/src/create-front.ts
+++ b/gateway/front/src/create-front.ts
@@ -81,22 +81,22 @@
 	function buildRequest(request: IncomingMessage, arrivedAt: number): Omit<ForwardRequest, 'body'> {
 		// A request on a kept-alive connection may arrive when too little grace time is left to answer it.
 		if (isDraining) {
-			throw new ValvesaddleError('ERR_VALVESADDLE_DRAINING', 'the node is draining and accepts no new requests', {retryAfterMs: 0});
+			throw new ValvesaddleError('ERR_VALVESADDLE_DRAINING', 'it came after the balancer had time to send callers elsewhere', {retryAfterMs: 0});
 		}
 
 		// The answer might not be written, so the request must not run.
 		if (guard.isEnding(request.socket)) {
-			throw new ValvesaddleError('ERR_VALVESADDLE_CONNECTION_ENDING', 'the connection is about to be closed', {retryAfterMs: 0});
+			throw new ValvesaddleError('ERR_VALVESADDLE_CONNECTION_ENDING', 'its connection is about to be closed', {retryAfterMs: 0});
 		}
 
 		const index = options.routes();
 		if (index === undefined) {
-			throw new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'no configuration has been loaded yet', {retryAfterMs: notReadyRetryMs});
+			throw new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'no configuration is known yet', {retryAfterMs: notReadyRetryMs});
 		}
 
 		const {headerBytes} = options.limits();
 		if (countHeaderBytes(request) > headerBytes) {
-			throw new ValvesaddleError('ERR_VALVESADDLE_HEADERS_TOO_LARGE', `headers exceed ${headerBytes} bytes`);
+			throw new ValvesaddleError('ERR_VALVESADDLE_HEADERS_TOO_LARGE', `over ${headerBytes} bytes`);
 		}
 
 		const path = request.url ?? '';
--- a/gateway/front/src/read-whole-body.ts
+++ b/gateway/front/src/read-whole-body.ts
@@ -12,7 +12,7 @@
 export async function readWholeBody(request: IncomingMessage, limitBytes: number): Promise<Uint8Array | undefined> {
 	const announced = Number(request.headers['content-length'] ?? 0);
 	if (announced > limitBytes) {
-		throw new ValvesaddleError('ERR_VALVESADDLE_BODY_TOO_LARGE', `body of ${announced} bytes, ${limitBytes} allowed`);
+		throw new ValvesaddleError('ERR_VALVESADDLE_BODY_TOO_LARGE', `${announced} bytes announced, ${limitBytes} allowed`);
 	}
 
 	if (announced === 0 && request.headers['transfer-encoding'] === undefined) {
@@ -25,7 +25,7 @@
 	request.on('data', (chunk: Uint8Array) => {
 		bytes += chunk.length;
 		if (bytes > limitBytes) {
-			reject(new ValvesaddleError('ERR_VALVESADDLE_BODY_TOO_LARGE', `body exceeds ${limitBytes} bytes`));
+			reject(new ValvesaddleError('ERR_VALVESADDLE_BODY_TOO_LARGE', `over ${limitBytes} bytes`));
 			return;
 		}
 
@@ -40,7 +40,7 @@
 			return;
 		}
 
-		reject(new ValvesaddleError('ERR_VALVESADDLE_CANCELLED', 'the caller disconnected while sending the body'));
+		reject(new ValvesaddleError('ERR_VALVESADDLE_CANCELLED', 'the caller went away within the body'));
 	});
 	return promise;
 }
