--- a/bench/capacity/src/create-filled-shard.ts
+++ b/bench/capacity/src/create-filled-shard.ts
@@ -18,7 +18,7 @@
 	const metrics = createMetrics();
 	const kv = createKvClient({urls: [server.url], timeoutMs: 5000, metrics});
 	const shard = createClaimShard({
-		shard: 0, kv, windowMs, writePauseMs: 1, metrics, logger: createLogger({node: 'bench', level: 'silent'}),
+		shard: 0, kv, windowMs, writeIntervalMs: 1, metrics, logger: createLogger({node: 'bench', level: 'silent'}),
 	});
 	for (let from = 0; from < count; from += batch) {
 		// eslint-disable-next-line no-await-in-loop -- batches, as claims come
--- a/bench/capacity/src/measure-claims.ts
+++ b/bench/capacity/src/measure-claims.ts
@@ -42,7 +42,7 @@
 
 function createShard(kv: KvStore, writePauseMs: number): ClaimShard {
 	return createClaimShard({
-		shard: 0, kv, windowMs, writePauseMs, metrics: createMetrics(), logger: createLogger({node: 'bench', level: 'silent'}),
+		shard: 0, kv, windowMs, writeIntervalMs: writePauseMs, metrics: createMetrics(), logger: createLogger({node: 'bench', level: 'silent'}),
 	});
 }
 
--- a/caller/api/src/create-caller-api.ts
+++ b/caller/api/src/create-caller-api.ts
@@ -95,7 +95,7 @@
 			throw refusal;
 		}
 
-		if (account.maximumOpen > 0 && options.executor.openOf(account.name) >= account.maximumOpen) {
+		if (account.maximumOpen > 0 && options.executor.countOpenByAccount(account.name) >= account.maximumOpen) {
 			throw new ValvesaddleError('ERR_VALVESADDLE_ACCOUNT_LIMIT', `client account "${account.name}" has ${account.maximumOpen} requests open`);
 		}
 	}
--- a/node/router/src/create-drain.ts
+++ b/node/router/src/create-drain.ts
@@ -39,7 +39,7 @@
 		network.broadcast('peer.leaving', {});
 		await delay(options.graceMs);
 		health.refuseNew();
-		if (executor.open() > 0) {
+		if (executor.countOpen() > 0) {
 			await executor.events.once('idle');
 		}
 
--- a/node/router/src/create-router.ts
+++ b/node/router/src/create-router.ts
@@ -107,11 +107,11 @@
 		membership,
 		shards: settings.claims.shards,
 		windowMs: settings.claims.window_ms,
-		writePauseMs: settings.claims.write_pause_ms,
+		writeIntervalMs: settings.claims.write_pause_ms,
 		metrics,
 		logger,
 	});
-	const answers = createAnswerStore({keepMs: limits.keep_answer_ms, keepSize: limits.keep_answer_bytes});
+	const answers = createAnswerStore({retentionMs: limits.keep_answer_ms, maximumCharacters: limits.keep_answer_bytes});
 	const executor = createExecutor({
 		node, dispatch, engines, services, claims, answers, abandonMs: limits.abandon_ms, tracing, metrics,
 	});
@@ -161,7 +161,7 @@
 			state: health.state(),
 			members: membership.routers(),
 			pools: host.status(),
-			openRequests: executor.open(),
+			openRequests: executor.countOpen(),
 		};
 	}
 
--- a/node/router/test/long-answers.test.ts
+++ b/node/router/test/long-answers.test.ts
@@ -24,7 +24,7 @@
 }
 
 async function startPair(t: Test, parts: readonly string[]) {
-	const answers = createAnswerStore({keepMs: 60_000, keepSize: 100_000_000});
+	const answers = createAnswerStore({retentionMs: 60_000, maximumCharacters: 100_000_000});
 	const log = createAnswerLog({
 		requestId, account, graceMs: 60_000, onAbandoned() {
 			// Nobody leaves.
--- a/outcome/answers/src/answer-store-options.ts
+++ b/outcome/answers/src/answer-store-options.ts
@@ -5,9 +5,9 @@
 	/**
 	Time for which an ended answer is kept, in milliseconds.
 	*/
-	readonly keepMs: number;
+	readonly retentionMs: number;
 	/**
 	Most characters kept in ended answers; the oldest go first.
 	*/
-	readonly keepSize: number;
+	readonly maximumCharacters: number;
 };
--- a/outcome/answers/src/create-answer-store.ts
+++ b/outcome/answers/src/create-answer-store.ts
@@ -19,7 +19,7 @@
 		let size = 0;
 		for (const log of ended) {
 			size += log.size();
-			if (size > options.keepSize || now - (log.endedAt() ?? now) >= options.keepMs) {
+			if (size > options.maximumCharacters || now - (log.endedAt() ?? now) >= options.retentionMs) {
 				logs.delete(log.requestId);
 			}
 		}
--- a/outcome/answers/test/answer-log.test.ts
+++ b/outcome/answers/test/answer-log.test.ts
@@ -56,7 +56,7 @@
 test('ended answers are kept for their time and size, open ones always', t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
-	const store = createAnswerStore({keepMs: 10_000, keepSize: 10});
+	const store = createAnswerStore({retentionMs: 10_000, maximumCharacters: 10});
 	const logs = ['open', 'first', 'second'].map(id => createLog(id));
 	for (const log of logs) {
 		store.add(log);
--- a/outcome/claims/src/claim-client-options.ts
+++ b/outcome/claims/src/claim-client-options.ts
@@ -17,7 +17,7 @@
 	*/
 	readonly shards: number;
 	readonly windowMs: number;
-	readonly writePauseMs: number;
+	readonly writeIntervalMs: number;
 	readonly metrics: Metrics;
 	readonly logger: Logger;
 };
--- a/outcome/claims/src/claim-decision.ts
+++ b/outcome/claims/src/claim-decision.ts
@@ -1,4 +1,4 @@
-import type {ClaimAnswer} from './claim-answer.ts';
+import type {ClaimResponse} from './claim-response.ts';
 import type {ClaimEntry} from './claim-entry.ts';
 import type {PendingClaim} from './pending-claim.ts';
 
@@ -6,7 +6,7 @@
 What a batch of claims comes to.
 */
 export type ClaimDecision = {
-	readonly answers: ReadonlyMap<PendingClaim, ClaimAnswer>;
+	readonly responses: ReadonlyMap<PendingClaim, ClaimResponse>;
 	/**
 	Entries to write so that the answers hold.
 	*/
--- a/outcome/claims/src/claim-question.ts
+++ b/outcome/claims/src/claim-request.ts
@@ -1,7 +1,7 @@
 /**
 Asks to be the one attempt that runs a non-repeatable request.
 */
-export type ClaimQuestion = {
+export type ClaimRequest = {
 	readonly account: string;
 	/**
 	Idempotency key that the caller gave.
--- a/outcome/claims/src/claim-answer-schema.ts
+++ b/outcome/claims/src/claim-response-schema.ts
@@ -3,7 +3,7 @@
 /**
 Form of an answer on the wire.
 */
-export const claimAnswerSchema = z.discriminatedUnion('kind', [
+export const claimResponseSchema = z.discriminatedUnion('kind', [
 	z.object({kind: z.literal('claimed')}),
 	z.object({
 		kind: z.literal('held'), requestId: z.string(), node: z.string(), fingerprint: z.string(),
--- a/outcome/claims/src/claim-answer.ts
+++ b/outcome/claims/src/claim-response.ts
@@ -1,7 +1,7 @@
 /**
 Whether the attempt may run, or which other one holds the claim.
 */
-export type ClaimAnswer =
+export type ClaimResponse =
 	| {readonly kind: 'claimed'}
 	| {readonly kind: 'held'; readonly requestId: string; readonly node: string; readonly fingerprint: string}
 	| {readonly kind: 'free'};
--- a/outcome/claims/src/claim-shard-options.ts
+++ b/outcome/claims/src/claim-shard-options.ts
@@ -15,7 +15,7 @@
 	/**
 	Shortest pause between two writes; claims that come meanwhile share the next write.
 	*/
-	readonly writePauseMs: number;
+	readonly writeIntervalMs: number;
 	readonly metrics: Metrics;
 	readonly logger: Logger;
 };
--- a/outcome/claims/src/create-claim-client.ts
+++ b/outcome/claims/src/create-claim-client.ts
@@ -6,11 +6,11 @@
 } from 'neverthrow';
 import {toValvesaddleError, unwrapResult, ValvesaddleError} from '@valvesaddle/error';
 import {rankOwners} from '@valvesaddle/ownership';
-import type {ClaimAnswer} from './claim-answer.ts';
-import {claimAnswerSchema} from './claim-answer-schema.ts';
+import type {ClaimResponse} from './claim-response.ts';
+import {claimResponseSchema} from './claim-response-schema.ts';
 import type {ClaimClient} from './claim-client.ts';
 import type {ClaimClientOptions} from './claim-client-options.ts';
-import type {ClaimQuestion} from './claim-question.ts';
+import type {ClaimRequest} from './claim-request.ts';
 import type {ClaimShard} from './claim-shard.ts';
 import {createClaimShard} from './create-claim-shard.ts';
 import {toClaimDigest} from './to-claim-digest.ts';
@@ -39,24 +39,24 @@
 		return shard;
 	}
 
-	function findShardNumber({account, key}: ClaimQuestion): number {
+	function findShardNumber({account, key}: ClaimRequest): number {
 		const digest = toClaimDigest(account, key);
 		return (((digest.codePointAt(0) ?? 0) * digestBase) + (digest.codePointAt(1) ?? 0)) % options.shards;
 	}
 
-	async function askOwner(owner: string, method: Method, question: ClaimQuestion): Promise<Result<ClaimAnswer, ValvesaddleError>> {
+	async function askOwner(owner: string, method: Method, question: ClaimRequest): Promise<Result<ClaimResponse, ValvesaddleError>> {
 		if (owner === options.node) {
 			return getShard(findShardNumber(question))[method](question);
 		}
 
 		const result = await options.network.call(owner, `claims.${method}`, question);
 		return result.andThen(value => {
-			const answer = claimAnswerSchema.safeParse(value);
+			const answer = claimResponseSchema.safeParse(value);
 			return answer.success ? ok(answer.data) : err(new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', 'the answer to a claim has an unknown form'));
 		});
 	}
 
-	async function ask(method: Method, question: ClaimQuestion): Promise<Result<ClaimAnswer, ValvesaddleError>> {
+	async function ask(method: Method, question: ClaimRequest): Promise<Result<ClaimResponse, ValvesaddleError>> {
 		const duty = `claims/${findShardNumber(question)}`;
 		for (const owner of rankOwners(duty, options.membership.routers()).slice(0, mostOwners)) {
 			// eslint-disable-next-line no-await-in-loop -- the next owner is asked after the one before failed
@@ -71,7 +71,7 @@
 		return err(new ValvesaddleError('ERR_VALVESADDLE_CLAIMS_UNAVAILABLE', 'no node that writes claims could be reached'));
 	}
 
-	const toResult = (method: Method) => (question: ClaimQuestion): ResultAsync<ClaimAnswer, ValvesaddleError> =>
+	const toResult = (method: Method) => (question: ClaimRequest): ResultAsync<ClaimResponse, ValvesaddleError> =>
 		new ResultAsync(ask(method, question).catch((error: unknown) => err(toValvesaddleError(error))));
 
 	return {
--- a/outcome/claims/src/create-claim-shard.ts
+++ b/outcome/claims/src/create-claim-shard.ts
@@ -6,15 +6,15 @@
 	type Result,
 } from 'neverthrow';
 import {toValvesaddleError, ValvesaddleError} from '@valvesaddle/error';
-import type {ClaimAnswer} from './claim-answer.ts';
-import type {ClaimQuestion} from './claim-question.ts';
+import type {ClaimResponse} from './claim-response.ts';
+import type {ClaimRequest} from './claim-request.ts';
 import type {ClaimShard} from './claim-shard.ts';
 import type {ClaimShardOptions} from './claim-shard-options.ts';
 import {createClaimJournal} from './create-claim-journal.ts';
 import {decideClaims} from './decide-claims.ts';
 import type {PendingClaim} from './pending-claim.ts';
 import {toClaimDigest} from './to-claim-digest.ts';
-import {toHeldAnswer} from './to-held-answer.ts';
+import {toHeldResponse} from './to-held-response.ts';
 
 /**
 Tries of one write, counting lost races and lost replies, before its claims are refused.
@@ -38,11 +38,11 @@
 	let isWriting = false;
 	let wroteAt = 0;
 
-	async function writeBatch(batch: readonly PendingClaim[]): Promise<ReadonlyMap<PendingClaim, ClaimAnswer>> {
+	async function writeBatch(batch: readonly PendingClaim[]): Promise<ReadonlyMap<PendingClaim, ClaimResponse>> {
 		for (let attempt = 0; attempt < mostTries; attempt++) {
 			// eslint-disable-next-line no-await-in-loop -- a try follows on the one before
 			await journal.update();
-			const {answers, entries} = decideClaims(batch, journal.find);
+			const {responses: answers, entries} = decideClaims(batch, journal.find);
 			// eslint-disable-next-line no-await-in-loop -- a try follows on the one before
 			if (entries.length === 0 || await journal.append(entries)) {
 				return answers;
@@ -74,7 +74,7 @@
 
 		isWriting = true;
 		while (pending.length > 0) {
-			const pauseMs = (wroteAt + options.writePauseMs) - Date.now();
+			const pauseMs = (wroteAt + options.writeIntervalMs) - Date.now();
 			if (pauseMs > 0) {
 				// eslint-disable-next-line no-await-in-loop -- bounds the rate of writes
 				await delay(pauseMs);
@@ -91,17 +91,17 @@
 		isWriting = false;
 	}
 
-	function addPending(kind: PendingClaim['kind'], question: ClaimQuestion): ResultAsync<ClaimAnswer, ValvesaddleError> {
-		const {promise, resolve} = Promise.withResolvers<Result<ClaimAnswer, ValvesaddleError>>();
+	function addPending(kind: PendingClaim['kind'], question: ClaimRequest): ResultAsync<ClaimResponse, ValvesaddleError> {
+		const {promise, resolve} = Promise.withResolvers<Result<ClaimResponse, ValvesaddleError>>();
 		pending.push({kind, question, settle: resolve});
 		void writePending();
 		return new ResultAsync(promise);
 	}
 
-	async function find(question: ClaimQuestion): Promise<ClaimAnswer> {
+	async function find(question: ClaimRequest): Promise<ClaimResponse> {
 		await journal.update();
 		const entry = journal.find(toClaimDigest(question.account, question.key));
-		return entry === undefined ? {kind: 'free'} : toHeldAnswer(entry);
+		return entry === undefined ? {kind: 'free'} : toHeldResponse(entry);
 	}
 
 	return {
--- a/outcome/claims/src/decide-claims.ts
+++ b/outcome/claims/src/decide-claims.ts
@@ -1,21 +1,21 @@
-import type {ClaimAnswer} from './claim-answer.ts';
+import type {ClaimResponse} from './claim-response.ts';
 import type {ClaimDecision} from './claim-decision.ts';
 import type {ClaimEntry} from './claim-entry.ts';
-import type {ClaimQuestion} from './claim-question.ts';
+import type {ClaimRequest} from './claim-request.ts';
 import type {PendingClaim} from './pending-claim.ts';
 import {toClaimDigest} from './to-claim-digest.ts';
-import {toHeldAnswer} from './to-held-answer.ts';
+import {toHeldResponse} from './to-held-response.ts';
 
 type Step = {
-	readonly answer: ClaimAnswer;
+	readonly answer: ClaimResponse;
 	readonly entry: ClaimEntry | undefined;
 };
 
-type StepHandler = (question: ClaimQuestion, digest: string, current: ClaimEntry | undefined) => Step;
+type StepHandler = (question: ClaimRequest, digest: string, current: ClaimEntry | undefined) => Step;
 
 const stepHandlers: Readonly<Record<PendingClaim['kind'], StepHandler>> = {
 	claim(question, digest, current) {
-		return current === undefined ? {answer: {kind: 'claimed'}, entry: toEntry(question, digest)} : {answer: current.r === question.requestId ? {kind: 'claimed'} : toHeldAnswer(current), entry: undefined};
+		return current === undefined ? {answer: {kind: 'claimed'}, entry: toEntry(question, digest)} : {answer: current.r === question.requestId ? {kind: 'claimed'} : toHeldResponse(current), entry: undefined};
 	},
 	release(question, digest, current) {
 		const entry: ClaimEntry | undefined = current?.r === question.requestId ? {...toEntry(question, digest), x: 1} : undefined;
@@ -32,7 +32,7 @@
  decideClaims(batch, () => undefined).entries.length; // one for each different key
  */
 export function decideClaims(batch: readonly PendingClaim[], find: (digest: string) => ClaimEntry | undefined): ClaimDecision {
-	const answers = new Map<PendingClaim, ClaimAnswer>();
+	const answers = new Map<PendingClaim, ClaimResponse>();
 	const fresh = new Map<string, ClaimEntry>();
 	for (const item of batch) {
 		const digest = toClaimDigest(item.question.account, item.question.key);
@@ -44,10 +44,10 @@
 		}
 	}
 
-	return {answers, entries: fresh.values().toArray()};
+	return {responses: answers, entries: fresh.values().toArray()};
 }
 
-function toEntry(question: ClaimQuestion, digest: string): ClaimEntry {
+function toEntry(question: ClaimRequest, digest: string): ClaimEntry {
 	return {
 		k: digest, r: question.requestId, n: question.node, f: question.fingerprint, t: Date.now(),
 	};
--- a/outcome/claims/src/pending-claim.ts
+++ b/outcome/claims/src/pending-claim.ts
@@ -1,13 +1,13 @@
 import type {Result} from 'neverthrow';
 import type {ValvesaddleError} from '@valvesaddle/error';
-import type {ClaimAnswer} from './claim-answer.ts';
-import type {ClaimQuestion} from './claim-question.ts';
+import type {ClaimResponse} from './claim-response.ts';
+import type {ClaimRequest} from './claim-request.ts';
 
 /**
 A claim or release that waits for the next write.
 */
 export type PendingClaim = {
 	readonly kind: 'claim' | 'release';
-	readonly question: ClaimQuestion;
-	readonly settle: (answer: Result<ClaimAnswer, ValvesaddleError>) => void;
+	readonly question: ClaimRequest;
+	readonly settle: (answer: Result<ClaimResponse, ValvesaddleError>) => void;
 };
--- a/outcome/claims/src/to-held-answer.ts
+++ b/outcome/claims/src/to-held-response.ts
@@ -1,4 +1,4 @@
-import type {ClaimAnswer} from './claim-answer.ts';
+import type {ClaimResponse} from './claim-response.ts';
 import type {ClaimEntry} from './claim-entry.ts';
 
 /**
@@ -7,7 +7,7 @@
  @example
  toHeldAnswer(entry); // {kind: 'held', requestId: 'a1-9', node: 'a1', fingerprint: '…'}
  */
-export function toHeldAnswer(entry: ClaimEntry): ClaimAnswer {
+export function toHeldResponse(entry: ClaimEntry): ClaimResponse {
 	return {
 		kind: 'held', requestId: entry.r, node: entry.n, fingerprint: entry.f,
 	};
--- a/outcome/claims/test/claim-shard.test.ts
+++ b/outcome/claims/test/claim-shard.test.ts
@@ -5,8 +5,8 @@
 import {createMetrics} from '@valvesaddle/metrics';
 import {
 	createClaimShard,
-	type ClaimAnswer,
-	type ClaimQuestion,
+	type ClaimResponse,
+	type ClaimRequest,
 	type ClaimShard,
 } from '@valvesaddle/claims';
 
@@ -26,18 +26,18 @@
 	const kv = createKvClient({urls: [server.url], timeoutMs: 150, metrics});
 	t.teardown(async () => kv.close());
 	const shard = createClaimShard({
-		shard: 0, kv, windowMs, writePauseMs: 1, metrics, logger,
+		shard: 0, kv, windowMs, writeIntervalMs: 1, metrics, logger,
 	});
 	return {shard, metrics};
 }
 
-function createQuestion(key: string, requestId: string): ClaimQuestion {
+function createQuestion(key: string, requestId: string): ClaimRequest {
 	return {
 		account: 'sawmill', key, fingerprint: 'f', requestId, node: requestId.slice(0, 2),
 	};
 }
 
-async function claim(shard: ClaimShard, key: string, requestId: string): Promise<ClaimAnswer['kind'] | string> {
+async function claim(shard: ClaimShard, key: string, requestId: string): Promise<ClaimResponse['kind'] | string> {
 	const result = await shard.claim(createQuestion(key, requestId));
 	return result.isOk() ? result.value.kind : result.error.code;
 }
--- a/outcome/execution/src/attempt.ts
+++ b/outcome/execution/src/attempt.ts
@@ -20,7 +20,7 @@
 	/**
 	Called at the first sign of an answer.
 	*/
-	readonly onFirst: () => void;
+	readonly onFirstAnswer: () => void;
 	/**
 	Whether the budgets hold a retry.
 	*/
--- a/outcome/execution/src/create-claim-holder.ts
+++ b/outcome/execution/src/create-claim-holder.ts
@@ -1,5 +1,5 @@
 import type {AnswerEnd} from '@valvesaddle/answers';
-import type {ClaimAnswer, ClaimClient, ClaimQuestion} from '@valvesaddle/claims';
+import type {ClaimResponse, ClaimClient, ClaimRequest} from '@valvesaddle/claims';
 import type {ValvesaddleError} from '@valvesaddle/error';
 import type {Result} from 'neverthrow';
 import type {ClaimHolder} from './claim-holder.ts';
@@ -18,7 +18,7 @@
  @example
  const held = await createClaimHolder(claims, question).claim();
  */
-export function createClaimHolder(claims: ClaimClient, question: ClaimQuestion | undefined): ClaimHolder {
+export function createClaimHolder(claims: ClaimClient, question: ClaimRequest | undefined): ClaimHolder {
 	if (question === undefined) {
 		return unclaimed;
 	}
@@ -46,7 +46,7 @@
 	};
 }
 
-function toEnd(answer: Result<ClaimAnswer, ValvesaddleError>): AnswerEnd | undefined {
+function toEnd(answer: Result<ClaimResponse, ValvesaddleError>): AnswerEnd | undefined {
 	if (answer.isErr()) {
 		throw answer.error;
 	}
--- a/outcome/execution/src/create-execution.ts
+++ b/outcome/execution/src/create-execution.ts
@@ -118,7 +118,7 @@
 				firstAt = Date.now();
 				advance('first-answer');
 			},
-			mayRetry: () => options.budgets.canSpend(job.account, job.pool.name),
+			mayRetry: () => options.budgets.canWithdraw(job.account, job.pool.name),
 		};
 		let result: AttemptResult;
 		try {
@@ -152,7 +152,7 @@
 		}
 
 		const next = decideNextStep({
-			error, job, progress, attempts: avoid.length + 1, canSpend: () => options.budgets.spend(job.account, job.pool.name),
+			error, job, progress, attempts: avoid.length + 1, canSpend: () => options.budgets.withdraw(job.account, job.pool.name),
 		});
 		const isNotRun = error.traits.ran === 'no' && outcome.state === 'sent';
 		if (next === 'end' && !isNotRun) {
--- a/outcome/execution/src/create-executor.ts
+++ b/outcome/execution/src/create-executor.ts
@@ -67,12 +67,12 @@
 			});
 			options.answers.add(log);
 			options.metrics.increment('requests.accepted', 1, {class: job.requestClass.name});
-			budgets.earn(job.account, job.pool.name);
+			budgets.deposit(job.account, job.pool.name);
 			addOpen(job.account, 1);
 			void run(job, log, abandoned.signal);
 			return log;
 		},
-		open: () => open,
-		openOf: account => openByAccount.get(account) ?? 0,
+		countOpen: () => open,
+		countOpenByAccount: account => openByAccount.get(account) ?? 0,
 	};
 }
--- a/outcome/execution/src/create-retry-budgets.ts
+++ b/outcome/execution/src/create-retry-budgets.ts
@@ -15,13 +15,13 @@
 	const getBudget = (key: string): Budget => budgets.get(key) ?? {balance: firstBalance};
 
 	return {
-		earn(account, pool) {
+		deposit(account, pool) {
 			for (const key of [`account/${account}`, `pool/${pool}`]) {
 				budgets.set(key, addToBudget(getBudget(key)));
 			}
 		},
-		canSpend: (account, pool) => [`account/${account}`, `pool/${pool}`].every(key => takeFromBudget(getBudget(key)) !== undefined),
-		spend(account, pool) {
+		canWithdraw: (account, pool) => [`account/${account}`, `pool/${pool}`].every(key => takeFromBudget(getBudget(key)) !== undefined),
+		withdraw(account, pool) {
 			const accountBudget = takeFromBudget(getBudget(`account/${account}`));
 			const poolBudget = takeFromBudget(getBudget(`pool/${pool}`));
 			if (accountBudget === undefined || poolBudget === undefined) {
--- a/outcome/execution/src/create-silence-watch.ts
+++ b/outcome/execution/src/create-stall-detector.ts
@@ -1,8 +1,8 @@
-import type {SilenceLimits} from './silence-limits.ts';
-import type {SilenceWatch} from './silence-watch.ts';
+import type {StallTimeouts} from './stall-timeouts.ts';
+import type {StallDetector} from './stall-detector.ts';
 
-type SilenceWatchOptions = {
-	readonly limits: SilenceLimits;
+type StallDetectorOptions = {
+	readonly limits: StallTimeouts;
 	readonly signal: AbortSignal;
 	/**
 	Whether an attempt without a first token may be cut, since its retry needs budget.
@@ -17,7 +17,7 @@
  @example
  const watch = createSilenceWatch({limits, signal, mayCut: () => true});
  */
-export function createSilenceWatch({limits, signal, mayCut}: SilenceWatchOptions): SilenceWatch {
+export function createStallDetector({limits, signal, mayCut}: StallDetectorOptions): StallDetector {
 	const cut = new AbortController();
 	let hasToken = false;
 	let timer: NodeJS.Timeout | undefined;
@@ -44,7 +44,7 @@
 			hasToken = true;
 			startTimer(limits.betweenTokensMs);
 		},
-		isCut: () => cut.signal.aborted,
+		isStalled: () => cut.signal.aborted,
 		close() {
 			clearTimeout(timer);
 		},
--- a/outcome/execution/src/executor.ts
+++ b/outcome/execution/src/executor.ts
@@ -12,9 +12,9 @@
 	Begins a request; its answer is read from the log.
 	*/
 	readonly start: (job: Job) => AnswerLog;
-	readonly open: () => number;
+	readonly countOpen: () => number;
 	/**
 	Open requests of one client account.
 	*/
-	readonly openOf: (account: string) => number;
+	readonly countOpenByAccount: (account: string) => number;
 };
--- a/outcome/execution/src/get-silence-limits.ts
+++ b/outcome/execution/src/get-stall-timeouts.ts
@@ -1,5 +1,5 @@
 import type {Job} from './job.ts';
-import type {SilenceLimits} from './silence-limits.ts';
+import type {StallTimeouts} from './stall-timeouts.ts';
 
 const shortestMs = 500;
 /**
@@ -18,7 +18,7 @@
  @example
  getSilenceLimits(job); // {beforeFirstTokenMs: 1660, betweenTokensMs: 2080}
  */
-export function getSilenceLimits({claim, pool, requestClass}: Job): SilenceLimits {
+export function getStallTimeouts({claim, pool, requestClass}: Job): StallTimeouts {
 	if (claim !== undefined) {
 		return {beforeFirstTokenMs: Infinity, betweenTokensMs: Infinity};
 	}
--- a/outcome/execution/src/retry-budgets.ts
+++ b/outcome/execution/src/retry-budgets.ts
@@ -2,13 +2,13 @@
 Budgets of retries by client account and pool, so that retries never amplify an overload.
 */
 export type RetryBudgets = {
-	readonly earn: (account: string, pool: string) => void;
+	readonly deposit: (account: string, pool: string) => void;
 	/**
 	Whether both budgets hold a retry.
 	*/
-	readonly canSpend: (account: string, pool: string) => boolean;
+	readonly canWithdraw: (account: string, pool: string) => boolean;
 	/**
 	Takes a retry out of both budgets; false when one of them has none left.
 	*/
-	readonly spend: (account: string, pool: string) => boolean;
+	readonly withdraw: (account: string, pool: string) => boolean;
 };
--- a/outcome/execution/src/run-engine-attempt.ts
+++ b/outcome/execution/src/run-engine-attempt.ts
@@ -3,10 +3,10 @@
 import type {EngineClient} from '@valvesaddle/engine';
 import {ValvesaddleError} from '@valvesaddle/error';
 import type {Attempt} from './attempt.ts';
-import {createSilenceWatch} from './create-silence-watch.ts';
+import {createStallDetector} from './create-stall-detector.ts';
 import type {EngineWork} from './engine-work.ts';
-import {getSilenceLimits} from './get-silence-limits.ts';
-import type {SilenceWatch} from './silence-watch.ts';
+import {getStallTimeouts} from './get-stall-timeouts.ts';
+import type {StallDetector} from './stall-detector.ts';
 
 /**
 Clients that an attempt at an engine uses.
@@ -24,17 +24,17 @@
  const end = await runEngineAttempt(attempt, work, {engines, dispatch});
  */
 export async function runEngineAttempt(attempt: Attempt, work: EngineWork, {engines, dispatch}: EngineTools): Promise<AnswerEnd> {
-	const watch = createSilenceWatch({limits: getSilenceLimits(attempt.job), signal: attempt.signal, mayCut: attempt.mayRetry});
+	const watch = createStallDetector({limits: getStallTimeouts(attempt.job), signal: attempt.signal, mayCut: attempt.mayRetry});
 	try {
 		return await readStream(attempt, watch, work, {engines, dispatch});
 	} catch (error) {
-		throw watch.isCut() ? new ValvesaddleError('ERR_VALVESADDLE_ENDPOINT_FAILED', 'the engine was silent for too long', {cause: error}) : error;
+		throw watch.isStalled() ? new ValvesaddleError('ERR_VALVESADDLE_ENDPOINT_FAILED', 'the engine was silent for too long', {cause: error}) : error;
 	} finally {
 		watch.close();
 	}
 }
 
-async function readStream(attempt: Attempt, watch: SilenceWatch, work: EngineWork, {engines, dispatch}: EngineTools): Promise<AnswerEnd> {
+async function readStream(attempt: Attempt, watch: StallDetector, work: EngineWork, {engines, dispatch}: EngineTools): Promise<AnswerEnd> {
 	const {job, grant, log, progress} = attempt;
 	const startedAt = Date.now();
 	const before = progress.tokens;
@@ -58,7 +58,7 @@
 			firstTokenMs = Date.now() - startedAt;
 			progress.firstTokenAt ??= Date.now();
 			attempt.hop.addEvent('first-token');
-			attempt.onFirst();
+			attempt.onFirstAnswer();
 		}
 
 		watch.recordToken();
--- a/outcome/execution/src/run-service-attempt.ts
+++ b/outcome/execution/src/run-service-attempt.ts
@@ -22,6 +22,6 @@
 		trace: attempt.hop.carrier,
 	}, attempt.signal);
 	progress.firstTokenAt ??= Date.now();
-	attempt.onFirst();
+	attempt.onFirstAnswer();
 	return {kind: 'reply', reply};
 }
--- a/outcome/execution/src/silence-watch.ts
+++ b/outcome/execution/src/stall-detector.ts
@@ -1,7 +1,7 @@
 /**
 Watches an attempt for silence.
 */
-export type SilenceWatch = {
+export type StallDetector = {
 	/**
 	Aborted when the attempt was silent for too long, or by the request's own signal.
 	*/
@@ -13,6 +13,6 @@
 	/**
 	Whether the attempt was cut short for its silence.
 	*/
-	readonly isCut: () => boolean;
+	readonly isStalled: () => boolean;
 	readonly close: () => void;
 };
--- a/outcome/execution/src/silence-limits.ts
+++ b/outcome/execution/src/stall-timeouts.ts
@@ -1,7 +1,7 @@
 /**
 How long an attempt may be silent before it is cut short and goes on elsewhere, in milliseconds.
 */
-export type SilenceLimits = {
+export type StallTimeouts = {
 	readonly beforeFirstTokenMs: number;
 	readonly betweenTokensMs: number;
 };
--- a/outcome/execution/test/silence-watch.test.ts
+++ b/outcome/execution/test/stall-detector.test.ts
@@ -1,6 +1,6 @@
 import {Clock} from 'clock-mock';
 import {test, type Test} from 'tap';
-import {createSilenceWatch} from '../src/create-silence-watch.ts';
+import {createStallDetector} from '../src/create-stall-detector.ts';
 
 const limits = {beforeFirstTokenMs: 1000, betweenTokensMs: 200};
 
@@ -8,7 +8,7 @@
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const own = new AbortController();
-	return {clock, own, watch: createSilenceWatch({limits, signal: own.signal, mayCut: () => canCut})};
+	return {clock, own, watch: createStallDetector({limits, signal: own.signal, mayCut: () => canCut})};
 }
 
 test('an attempt without a first token is cut at its limit and not before', t => {
@@ -17,7 +17,7 @@
 	t.notOk(watch.signal.aborted);
 	clock.advance(1);
 	t.ok(watch.signal.aborted);
-	t.ok(watch.isCut());
+	t.ok(watch.isStalled());
 	t.end();
 });
 
@@ -28,16 +28,16 @@
 		clock.advance(199);
 	}
 
-	t.notOk(watch.isCut());
+	t.notOk(watch.isStalled());
 	clock.advance(1);
-	t.ok(watch.isCut());
+	t.ok(watch.isStalled());
 	t.end();
 });
 
 test('without budget for a retry an attempt is not cut before its first token', t => {
 	const {clock, watch} = start(t, false);
 	clock.advance(5000);
-	t.notOk(watch.isCut());
+	t.notOk(watch.isStalled());
 	t.end();
 });
 
@@ -45,7 +45,7 @@
 	const {own, watch} = start(t);
 	own.abort();
 	t.ok(watch.signal.aborted);
-	t.notOk(watch.isCut());
+	t.notOk(watch.isStalled());
 	watch.close();
 	t.end();
 });
--- a/outcome/state/src/first-outcome.ts
+++ b/outcome/state/src/initial-outcome.ts
@@ -3,4 +3,4 @@
 /**
 Outcome of a request that was just accepted.
 */
-export const firstOutcome: Outcome = {state: 'accepted', ran: 'no'};
+export const initialOutcome: Outcome = {state: 'accepted', ran: 'no'};
