--- a/outcome/claims/src/claim-client-options.ts
+++ b/outcome/claims/src/claim-client-options.ts
@@ -13,7 +13,7 @@
 	readonly network: PeerNetwork;
 	readonly membership: Membership;
 	/**
-	Number of shards; the same on every node and for good.
+	Number of shards; must be the same on every node and never change.
 	*/
 	readonly shards: number;
 	readonly windowMs: number;
--- a/outcome/claims/src/claim-client.ts
+++ b/outcome/claims/src/claim-client.ts
@@ -4,18 +4,18 @@
 import type {ClaimRequest} from './claim-request.ts';
 
 /**
-Asks the writer of the right shard, wherever it is. Errors: `ERR_VALVESADDLE_CLAIMS_UNAVAILABLE`.
+Sends requests to the writer of the right shard, on this node or a peer. Errors: `ERR_VALVESADDLE_CLAIMS_UNAVAILABLE`.
 */
 export type ClaimClient = {
-	readonly claim: (question: ClaimRequest) => ResultAsync<ClaimResponse, ValvesaddleError>;
-	readonly release: (question: ClaimRequest) => ResultAsync<ClaimResponse, ValvesaddleError>;
-	readonly find: (question: ClaimRequest) => ResultAsync<ClaimResponse, ValvesaddleError>;
+	readonly claim: (request: ClaimRequest) => ResultAsync<ClaimResponse, ValvesaddleError>;
+	readonly release: (request: ClaimRequest) => ResultAsync<ClaimResponse, ValvesaddleError>;
+	readonly find: (request: ClaimRequest) => ResultAsync<ClaimResponse, ValvesaddleError>;
 	/**
-	Answers a peer's question with the shard writer on this node.
+	Handles a peer's request with the shard writer of this node.
 	*/
-	readonly serve: (method: keyof ClaimMethods, question: ClaimRequest) => Promise<ClaimResponse>;
+	readonly serve: (method: keyof ClaimMethods, request: ClaimRequest) => Promise<ClaimResponse>;
 	/**
-	Claims in memory on this node.
+	Number of claims in memory on this node.
 	*/
 	readonly size: () => number;
 };
--- a/outcome/claims/src/claim-decision.ts
+++ b/outcome/claims/src/claim-decision.ts
@@ -3,12 +3,12 @@
 import type {PendingClaim} from './pending-claim.ts';
 
 /**
-What a batch of claims comes to.
+Decision on a batch of claims and releases.
 */
 export type ClaimDecision = {
 	readonly responses: ReadonlyMap<PendingClaim, ClaimResponse>;
 	/**
-	Entries to write so that the answers hold.
+	Entries to write before the responses are sent.
 	*/
 	readonly entries: readonly ClaimEntry[];
 };
--- a/outcome/claims/src/claim-entry.ts
+++ b/outcome/claims/src/claim-entry.ts
@@ -1,5 +1,5 @@
 /**
-A claim as it is stored. Names are short because every claim is written out many times.
+A claim as it is stored. Keys are short because each claim is written many times.
 */
 export type ClaimEntry = {
 	/**
@@ -7,11 +7,11 @@
 	*/
 	readonly k: string;
 	/**
-	Request id of the attempt.
+	Request ID of the attempt.
 	*/
 	readonly r: string;
 	/**
-	Node of the attempt.
+	Node that runs the attempt.
 	*/
 	readonly n: string;
 	/**
@@ -23,7 +23,7 @@
 	*/
 	readonly t: number;
 	/**
-	1 when the attempt gave the claim back, surely without having run.
+	1 when the attempt released the claim because it certainly did not run.
 	*/
 	readonly x?: 1;
 };
--- a/outcome/claims/src/claim-head.ts
+++ b/outcome/claims/src/claim-head.ts
@@ -1,13 +1,13 @@
 import type {ClaimEntry} from './claim-entry.ts';
 
 /**
-The newest segment of a shard, as stored under its head.
+Newest segment of a shard, as stored under the head key.
 */
 export type ClaimHead = {
 	readonly number: number;
 	readonly entries: readonly ClaimEntry[];
 	/**
-	The segment before, until it is archived; fixed by the write that began this segment.
+	Entries of the preceding segment until it is archived; fixed by the write that started this segment.
 	*/
 	readonly previous?: readonly ClaimEntry[] | undefined;
 };
--- a/outcome/claims/src/claim-journal.ts
+++ b/outcome/claims/src/claim-journal.ts
@@ -1,20 +1,20 @@
 import type {ClaimEntry} from './claim-entry.ts';
 
 /**
-The claims of one shard, in memory and in the key-value service. Every method throws `ValvesaddleError`.
+Claims of one shard, in memory and in the key-value service. Every method throws `ValvesaddleError`.
 */
 export type ClaimJournal = {
 	/**
-	Brings the memory up to date unless it was a moment ago.
+	Reads the head again unless it was read recently.
 	*/
 	readonly update: () => Promise<void>;
 	/**
-	The claim in force on a digest, as far as the memory knows.
+	The claim in force for a digest, according to the last read.
 	*/
 	readonly find: (digest: string) => ClaimEntry | undefined;
 	/**
-	 Appends entries if this writer knows the newest head. Returns false when it did not, or when the reply was lost;
-	 then update and decide anew.
+	 Appends entries if no other writer has replaced the head since it was read. Returns false when one has, or when the
+	 reply was lost: call `update` and decide again.
 	 */
 	readonly append: (entries: readonly ClaimEntry[]) => Promise<boolean>;
 	readonly sweep: () => void;
--- a/outcome/claims/src/claim-request.ts
+++ b/outcome/claims/src/claim-request.ts
@@ -1,22 +1,22 @@
 /**
-Asks to be the one attempt that runs a non-repeatable request.
+Requests the claim that lets one attempt run a non-repeatable request.
 */
 export type ClaimRequest = {
 	readonly account: string;
 	/**
-	Idempotency key that the caller gave.
+	Idempotency key sent by the caller.
 	*/
 	readonly key: string;
 	/**
-	Digest of the request, to tell a repetition from a key used twice.
+	Digest of the request; differs when a key is reused for another request.
 	*/
 	readonly fingerprint: string;
 	/**
-	Unique id of this attempt; asking again with the same id gives the same answer.
+	Unique ID of this attempt; repeating a request with the same ID is idempotent.
 	*/
 	readonly requestId: string;
 	/**
-	Node that holds the attempt.
+	Node that runs the attempt.
 	*/
 	readonly node: string;
 };
--- a/outcome/claims/src/claim-response-schema.ts
+++ b/outcome/claims/src/claim-response-schema.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
 
 /**
-Form of an answer on the wire.
+Wire format of a claim response.
 */
 export const claimResponseSchema = z.discriminatedUnion('kind', [
 	z.object({kind: z.literal('claimed')}),
--- a/outcome/claims/src/claim-response.ts
+++ b/outcome/claims/src/claim-response.ts
@@ -1,5 +1,5 @@
 /**
-Whether the attempt may run, or which other one holds the claim.
+Whether the attempt holds the claim, another attempt holds it, or it is free.
 */
 export type ClaimResponse =
 	| {readonly kind: 'claimed'}
--- a/outcome/claims/src/claim-segment-schema.ts
+++ b/outcome/claims/src/claim-segment-schema.ts
@@ -10,6 +10,6 @@
 const entries = z.array(entry).readonly();
 
 /**
-Form of a stored segment or head.
+Format of a stored segment or head.
 */
 export const claimSegmentSchema = z.object({number: z.int().min(0), entries, previous: entries.optional()});
--- a/outcome/claims/src/claim-segment.ts
+++ b/outcome/claims/src/claim-segment.ts
@@ -1,7 +1,7 @@
 import type {ClaimEntry} from './claim-entry.ts';
 
 /**
-A run of claims in the order in which they were made.
+Consecutive claims of a shard, oldest first.
 */
 export type ClaimSegment = {
 	readonly number: number;
--- a/outcome/claims/src/claim-shard-options.ts
+++ b/outcome/claims/src/claim-shard-options.ts
@@ -9,11 +9,11 @@
 	readonly shard: number;
 	readonly kv: KvStore;
 	/**
-	Time for which a claim holds, in milliseconds.
+	Time for which a claim is in force, in milliseconds.
 	*/
 	readonly windowMs: number;
 	/**
-	Shortest pause between two writes; claims that come meanwhile share the next write.
+	Minimum time between two writes, in milliseconds; claims that arrive in between share the next write.
 	*/
 	readonly writeIntervalMs: number;
 	readonly metrics: Metrics;
--- a/outcome/claims/src/claim-shard.ts
+++ b/outcome/claims/src/claim-shard.ts
@@ -4,21 +4,21 @@
 import type {ClaimRequest} from './claim-request.ts';
 
 /**
- Writer of one shard of the claims. Any number of writers may be active at once: each write is a compare-and-swap on
- the shard's head, so a paused writer's write fails and it reads again.
+ Writer of one shard of the claims. Several writers may be active at once: each write is a compare-and-swap on the
+ shard's head, so the write of an outdated writer fails and it reads the head again.
  */
 export type ClaimShard = {
-	readonly claim: (question: ClaimRequest) => ResultAsync<ClaimResponse, ValvesaddleError>;
+	readonly claim: (request: ClaimRequest) => ResultAsync<ClaimResponse, ValvesaddleError>;
 	/**
-	Gives a claim back whose attempt surely did not run.
+	Releases the claim of an attempt that certainly did not run.
 	*/
-	readonly release: (question: ClaimRequest) => ResultAsync<ClaimResponse, ValvesaddleError>;
+	readonly release: (request: ClaimRequest) => ResultAsync<ClaimResponse, ValvesaddleError>;
 	/**
-	Looks a claim up without making one.
+	Looks up a claim without making one.
 	*/
-	readonly find: (question: ClaimRequest) => ResultAsync<ClaimResponse, ValvesaddleError>;
+	readonly find: (request: ClaimRequest) => ResultAsync<ClaimResponse, ValvesaddleError>;
 	/**
-	Claims in memory.
+	Number of claims in memory.
 	*/
 	readonly size: () => number;
 };
--- a/outcome/claims/src/claim-table.ts
+++ b/outcome/claims/src/claim-table.ts
@@ -1,16 +1,16 @@
 import type {ClaimEntry} from './claim-entry.ts';
 
 /**
-The claims of a shard by digest, the newest entry of each.
+Newest claim entry of each digest of a shard.
 */
 export type ClaimTable = {
 	readonly apply: (entries: readonly ClaimEntry[]) => void;
 	/**
-	The claim in force; `undefined` when there is none, it was given back or it is too old.
+	The claim in force; `undefined` when there is none, it was released or it has expired.
 	*/
 	readonly find: (digest: string) => ClaimEntry | undefined;
 	/**
-	Drops what is too old.
+	Removes expired claims.
 	*/
 	readonly sweep: () => void;
 	readonly clear: () => void;
--- a/outcome/claims/src/create-claim-client.ts
+++ b/outcome/claims/src/create-claim-client.ts
@@ -18,17 +18,17 @@
 type Method = Parameters<ClaimClient['serve']>[0];
 
 /**
-Nodes asked for one claim before it is refused.
+Nodes called for one claim before it is refused.
 */
-const mostOwners = 3;
+const maximumOwners = 3;
 const digestBase = 64;
 
 /**
- Creates the claim client of a node, which also carries the shard writers that fall to the node. Which node writes is
- only a matter of sharing writes: safety comes from the compare-and-swap alone.
+ Creates the claim client of a node, which also contains the shard writers that the node owns. One owner a shard only
+ saves writes: correctness depends on the compare-and-swap alone.
 
  @example
- const answer = await claims.claim({account, key, fingerprint, requestId, node});
+ const response = await claims.claim({account, key, fingerprint, requestId, node});
  */
 export function createClaimClient(options: ClaimClientOptions): ClaimClient {
 	const shards = new Map<number, ClaimShard>();
@@ -44,23 +44,23 @@
 		return (((digest.codePointAt(0) ?? 0) * digestBase) + (digest.codePointAt(1) ?? 0)) % options.shards;
 	}
 
-	async function askOwner(owner: string, method: Method, question: ClaimRequest): Promise<Result<ClaimResponse, ValvesaddleError>> {
+	async function callOwner(owner: string, method: Method, request: ClaimRequest): Promise<Result<ClaimResponse, ValvesaddleError>> {
 		if (owner === options.node) {
-			return getShard(findShardNumber(question))[method](question);
+			return getShard(findShardNumber(request))[method](request);
 		}
 
-		const result = await options.network.call(owner, `claims.${method}`, question);
+		const result = await options.network.call(owner, `claims.${method}`, request);
 		return result.andThen(value => {
-			const answer = claimResponseSchema.safeParse(value);
-			return answer.success ? ok(answer.data) : err(new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', 'the answer to a claim has an unknown form'));
+			const response = claimResponseSchema.safeParse(value);
+			return response.success ? ok(response.data) : err(new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', 'the response to a claim request has an unknown format'));
 		});
 	}
 
-	async function ask(method: Method, question: ClaimRequest): Promise<Result<ClaimResponse, ValvesaddleError>> {
-		const duty = `claims/${findShardNumber(question)}`;
-		for (const owner of rankOwners(duty, options.membership.routers()).slice(0, mostOwners)) {
-			// eslint-disable-next-line no-await-in-loop -- the next owner is asked after the one before failed
-			const result = await askOwner(owner, method, question);
+	async function callOwners(method: Method, request: ClaimRequest): Promise<Result<ClaimResponse, ValvesaddleError>> {
+		const shardName = `claims/${findShardNumber(request)}`;
+		for (const owner of rankOwners(shardName, options.membership.routers()).slice(0, maximumOwners)) {
+			// eslint-disable-next-line no-await-in-loop -- the next owner is called only after the previous one failed
+			const result = await callOwner(owner, method, request);
 			if (result.isOk() || result.error.code !== 'ERR_VALVESADDLE_PEER_UNREACHABLE') {
 				return result;
 			}
@@ -68,18 +68,18 @@
 			options.membership.suspect(owner);
 		}
 
-		return err(new ValvesaddleError('ERR_VALVESADDLE_CLAIMS_UNAVAILABLE', 'no node that writes claims could be reached'));
+		return err(new ValvesaddleError('ERR_VALVESADDLE_CLAIMS_UNAVAILABLE', 'no owner of the claim shard could be reached'));
 	}
 
-	const toResult = (method: Method) => (question: ClaimRequest): ResultAsync<ClaimResponse, ValvesaddleError> =>
-		new ResultAsync(ask(method, question).catch((error: unknown) => err(toValvesaddleError(error))));
+	const toResult = (method: Method) => (request: ClaimRequest): ResultAsync<ClaimResponse, ValvesaddleError> =>
+		new ResultAsync(callOwners(method, request).catch((error: unknown) => err(toValvesaddleError(error))));
 
 	return {
 		claim: toResult('claim'),
 		release: toResult('release'),
 		find: toResult('find'),
-		async serve(method, question) {
-			return unwrapResult(await getShard(findShardNumber(question))[method](question));
+		async serve(method, request) {
+			return unwrapResult(await getShard(findShardNumber(request))[method](request));
 		},
 		size() {
 			let sum = 0;
--- a/outcome/claims/src/create-claim-journal.ts
+++ b/outcome/claims/src/create-claim-journal.ts
@@ -8,23 +8,23 @@
 import {createClaimTable} from './create-claim-table.ts';
 
 /**
-A head is written whole with every batch, so it is kept small.
+Limits the size of the head, which every batch rewrites as a whole.
 */
-const fullSegmentEntries = 64;
+const maximumSegmentEntries = 64;
 /**
-A head read so recently need not be read again before a lookup; a write finds out by itself.
+Time for which a head is not read again; a write on an outdated head fails its compare-and-swap.
 */
-const freshMs = 1000;
+const headCacheMs = 1000;
 
 /**
  Creates the journal of one shard.
 
- The entries of a segment are fixed by the write that begins the next one, which carries them along as `previous`;
- they are archived only after that. So no writer can archive a segment that another one still adds to.
+ The write that starts a new segment fixes the entries of the preceding one and stores them as `previous`; they are
+ archived only after that, so no writer can archive a segment that another one still appends to.
 
  @example
- await journal.refresh();
- const written = await journal.append(entries);
+ await journal.update();
+ const isWritten = await journal.append(entries);
  */
 export function createClaimJournal(options: ClaimShardOptions): ClaimJournal {
 	const {metrics} = options;
@@ -33,11 +33,11 @@
 	let stored: StoredHead | undefined;
 	let readAt = 0;
 	let appliedNumber = -1;
-	let reading: Promise<void> | undefined;
+	let pendingRead: Promise<void> | undefined;
 
 	async function read(): Promise<void> {
-		const fresh = await storage.readHead();
-		const {head} = fresh;
+		const latest = await storage.readHead();
+		const {head} = latest;
 		if (head.number > appliedNumber) {
 			const newestArchived = head.previous === undefined ? head.number - 1 : head.number - 2;
 			const archived = await storage.readArchived(newestArchived, Math.max(0, appliedNumber));
@@ -51,25 +51,25 @@
 		table.apply(head.previous ?? []);
 		table.apply(head.entries);
 		appliedNumber = head.number;
-		stored = fresh;
+		stored = latest;
 		readAt = Date.now();
 	}
 
 	async function update(): Promise<void> {
-		if (stored !== undefined && Date.now() - readAt < freshMs) {
+		if (stored !== undefined && Date.now() - readAt < headCacheMs) {
 			return;
 		}
 
-		reading ??= read();
+		pendingRead ??= read();
 		try {
-			await reading;
+			await pendingRead;
 		} finally {
-			reading = undefined;
+			pendingRead = undefined;
 		}
 	}
 
 	/**
-	Archives the segment that the head carries along; true when it no longer needs to.
+	Archives the preceding segment if the head contains it; true when none is left to archive.
 	*/
 	async function hasArchivedPrevious({number, previous}: ClaimHead): Promise<boolean> {
 		if (previous === undefined) {
@@ -87,7 +87,7 @@
 
 	async function buildNextHead(head: ClaimHead, entries: readonly ClaimEntry[]): Promise<ClaimHead> {
 		const isArchived = await hasArchivedPrevious(head);
-		const isFull = head.entries.length + entries.length > fullSegmentEntries;
+		const isFull = head.entries.length + entries.length > maximumSegmentEntries;
 		return isFull && isArchived ? {number: head.number + 1, entries, previous: head.entries} : {number: head.number, entries: [...head.entries, ...entries], previous: isArchived ? undefined : head.previous};
 	}
 
--- a/outcome/claims/src/create-claim-shard.ts
+++ b/outcome/claims/src/create-claim-shard.ts
@@ -17,47 +17,47 @@
 import {toHeldResponse} from './to-held-response.ts';
 
 /**
-Tries of one write, counting lost races and lost replies, before its claims are refused.
+Attempts to write a batch, including lost races and lost replies, before its claims are refused.
 */
-const mostTries = 5;
+const maximumAttempts = 5;
 const retryAfterMs = 2000;
 
 /**
- Creates the writer of one claim shard. Claims that come while a write is under way share the next one.
+ Creates the writer of one claim shard. Claims that arrive during a write share the next one.
 
- A write whose reply is lost is settled by reading the head back and writing again on the index that was read: either
- the first write is found there, or it can no longer take effect once the second one has.
+ After a lost reply the head is read again and the write repeated with the index read: either the head already contains
+ the first write, or the first write fails its compare-and-swap once the second one succeeds.
 
  @example
- const answer = await shard.claim({account, key, fingerprint, requestId, node});
+ const response = await shard.claim({account, key, fingerprint, requestId, node});
  */
 export function createClaimShard(options: ClaimShardOptions): ClaimShard {
 	const {metrics} = options;
 	const journal = createClaimJournal(options);
 	let pending: PendingClaim[] = [];
 	let isWriting = false;
-	let wroteAt = 0;
+	let lastWriteAt = 0;
 
 	async function writeBatch(batch: readonly PendingClaim[]): Promise<ReadonlyMap<PendingClaim, ClaimResponse>> {
-		for (let attempt = 0; attempt < mostTries; attempt++) {
-			// eslint-disable-next-line no-await-in-loop -- a try follows on the one before
+		for (let attempt = 0; attempt < maximumAttempts; attempt++) {
+			// eslint-disable-next-line no-await-in-loop -- attempts are sequential
 			await journal.update();
-			const {responses: answers, entries} = decideClaims(batch, journal.find);
-			// eslint-disable-next-line no-await-in-loop -- a try follows on the one before
+			const {responses, entries} = decideClaims(batch, journal.find);
+			// eslint-disable-next-line no-await-in-loop -- attempts are sequential
 			if (entries.length === 0 || await journal.append(entries)) {
-				return answers;
+				return responses;
 			}
 		}
 
-		throw new ValvesaddleError('ERR_VALVESADDLE_CLAIMS_UNAVAILABLE', `the claim could not be written in ${mostTries} tries`);
+		throw new ValvesaddleError('ERR_VALVESADDLE_CLAIMS_UNAVAILABLE', `the claim could not be written in ${maximumAttempts} attempts`);
 	}
 
 	async function settleBatch(batch: readonly PendingClaim[]): Promise<void> {
 		try {
-			const answers = await writeBatch(batch);
+			const responses = await writeBatch(batch);
 			metrics.increment('claims.committed', batch.length);
 			for (const item of batch) {
-				item.settle(ok(answers.get(item) ?? {kind: 'free'}));
+				item.settle(ok(responses.get(item) ?? {kind: 'free'}));
 			}
 		} catch (error) {
 			const failure = toUnavailable(error);
@@ -74,13 +74,13 @@
 
 		isWriting = true;
 		while (pending.length > 0) {
-			const pauseMs = (wroteAt + options.writeIntervalMs) - Date.now();
-			if (pauseMs > 0) {
+			const waitMs = (lastWriteAt + options.writeIntervalMs) - Date.now();
+			if (waitMs > 0) {
 				// eslint-disable-next-line no-await-in-loop -- bounds the rate of writes
-				await delay(pauseMs);
+				await delay(waitMs);
 			}
 
-			wroteAt = Date.now();
+			lastWriteAt = Date.now();
 			const batch = pending;
 			pending = [];
 			// eslint-disable-next-line no-await-in-loop -- one write at a time
@@ -91,23 +91,23 @@
 		isWriting = false;
 	}
 
-	function addPending(kind: PendingClaim['kind'], question: ClaimRequest): ResultAsync<ClaimResponse, ValvesaddleError> {
+	function addPending(kind: PendingClaim['kind'], request: ClaimRequest): ResultAsync<ClaimResponse, ValvesaddleError> {
 		const {promise, resolve} = Promise.withResolvers<Result<ClaimResponse, ValvesaddleError>>();
-		pending.push({kind, question, settle: resolve});
+		pending.push({kind, request, settle: resolve});
 		void writePending();
 		return new ResultAsync(promise);
 	}
 
-	async function find(question: ClaimRequest): Promise<ClaimResponse> {
+	async function find(request: ClaimRequest): Promise<ClaimResponse> {
 		await journal.update();
-		const entry = journal.find(toClaimDigest(question.account, question.key));
+		const entry = journal.find(toClaimDigest(request.account, request.key));
 		return entry === undefined ? {kind: 'free'} : toHeldResponse(entry);
 	}
 
 	return {
-		claim: question => addPending('claim', question),
-		release: question => addPending('release', question),
-		find: question => ResultAsync.fromPromise(find(question), toUnavailable),
+		claim: request => addPending('claim', request),
+		release: request => addPending('release', request),
+		find: request => ResultAsync.fromPromise(find(request), toUnavailable),
 		size: journal.size,
 	};
 }
--- a/outcome/claims/src/create-claim-storage.ts
+++ b/outcome/claims/src/create-claim-storage.ts
@@ -5,10 +5,7 @@
 import type {ClaimSegment} from './claim-segment.ts';
 import type {ClaimStorage} from './claim-storage.ts';
 
-/**
-Archived segments read at once.
-*/
-const readsAtOnce = 8;
+const maximumParallelReads = 8;
 
 /**
  Creates the storage of one shard. Keys: `valvesaddle/claims/<shard>/head` and `…/segment/<number>`.
@@ -24,10 +21,10 @@
 		return entry && parseSegment(entry.value);
 	}
 
-	async function removeOld(segment: ClaimSegment): Promise<void> {
-		const old = segment.number - countKept(segment, windowMs);
-		if (old >= 0) {
-			unwrapResult(await kv.delete(`${prefix}/segment/${old}`));
+	async function removeExpired(segment: ClaimSegment): Promise<void> {
+		const expired = segment.number - countRetained(segment, windowMs);
+		if (expired >= 0) {
+			unwrapResult(await kv.delete(`${prefix}/segment/${expired}`));
 		}
 	}
 
@@ -41,14 +38,14 @@
 		writeHead: async (head, modifyIndex) => unwrapResult(await kv.compareAndSwap(`${prefix}/head`, JSON.stringify(head), modifyIndex)),
 		async readArchived(newest, oldest) {
 			const found: ClaimSegment[] = [];
-			for (let next = newest; next >= oldest; next -= readsAtOnce) {
-				const count = Math.min(readsAtOnce, (next - oldest) + 1);
+			for (let next = newest; next >= oldest; next -= maximumParallelReads) {
+				const count = Math.min(maximumParallelReads, (next - oldest) + 1);
 				const numbers = Array.from({length: count}, (_, index) => next - index);
-				// eslint-disable-next-line no-await-in-loop -- the newer ones tell whether older ones matter
+				// eslint-disable-next-line no-await-in-loop -- older segments are read only while the newer ones are in force
 				const segments = await Promise.all(numbers.map(async number => readSegment(number)));
-				const current = segments.filter(segment => segment !== undefined).filter(segment => isCurrent(segment, windowMs));
-				found.push(...current);
-				if (current.length < count) {
+				const inForce = segments.filter(segment => segment !== undefined).filter(segment => isInForce(segment, windowMs));
+				found.push(...inForce);
+				if (inForce.length < count) {
 					break;
 				}
 			}
@@ -57,7 +54,7 @@
 		},
 		async archive(segment) {
 			unwrapResult(await kv.compareAndSwap(`${prefix}/segment/${segment.number}`, JSON.stringify(segment), 0));
-			await removeOld(segment);
+			await removeExpired(segment);
 		},
 	};
 }
@@ -66,18 +63,18 @@
 	try {
 		return claimSegmentSchema.parse(JSON.parse(text));
 	} catch (error) {
-		throw new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', 'a stored claim segment has an unknown form', {cause: error});
+		throw new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', 'a stored claim segment has an unknown format', {cause: error});
 	}
 }
 
-function isCurrent({entries}: ClaimSegment, windowMs: number): boolean {
+function isInForce({entries}: ClaimSegment, windowMs: number): boolean {
 	return Date.now() - (entries.at(-1)?.t ?? 0) < windowMs;
 }
 
 /**
-Segments to keep behind this one, judged by the time that it covers, with a margin of two.
+Number of segments to keep before this one, estimated from the time that it covers, with a margin of factor 2.
 */
-function countKept({entries}: ClaimSegment, windowMs: number): number {
+function countRetained({entries}: ClaimSegment, windowMs: number): number {
 	const spanMs = Math.max(1, (entries.at(-1)?.t ?? 0) - (entries[0]?.t ?? 0));
 	return Math.ceil(windowMs / spanMs) * 2;
 }
--- a/outcome/claims/src/create-claim-table.ts
+++ b/outcome/claims/src/create-claim-table.ts
@@ -13,7 +13,7 @@
 	return {
 		apply(entries) {
 			for (const entry of entries) {
-				// The newest goes last, so that a sweep can stop at the first one in force.
+				// Keeps insertion order by age, so that a sweep can stop at the first claim in force.
 				claims.delete(entry.k);
 				claims.set(entry.k, entry);
 			}
--- a/outcome/claims/src/decide-claims.ts
+++ b/outcome/claims/src/decide-claims.ts
@@ -6,49 +6,49 @@
 import {toClaimDigest} from './to-claim-digest.ts';
 import {toHeldResponse} from './to-held-response.ts';
 
-type Step = {
-	readonly answer: ClaimResponse;
+type SingleDecision = {
+	readonly response: ClaimResponse;
 	readonly entry: ClaimEntry | undefined;
 };
 
-type StepHandler = (question: ClaimRequest, digest: string, current: ClaimEntry | undefined) => Step;
+type KindHandler = (request: ClaimRequest, digest: string, current: ClaimEntry | undefined) => SingleDecision;
 
-const stepHandlers: Readonly<Record<PendingClaim['kind'], StepHandler>> = {
-	claim(question, digest, current) {
-		return current === undefined ? {answer: {kind: 'claimed'}, entry: toEntry(question, digest)} : {answer: current.r === question.requestId ? {kind: 'claimed'} : toHeldResponse(current), entry: undefined};
+const kindHandlers: Readonly<Record<PendingClaim['kind'], KindHandler>> = {
+	claim(request, digest, current) {
+		return current === undefined ? {response: {kind: 'claimed'}, entry: toEntry(request, digest)} : {response: current.r === request.requestId ? {kind: 'claimed'} : toHeldResponse(current), entry: undefined};
 	},
-	release(question, digest, current) {
-		const entry: ClaimEntry | undefined = current?.r === question.requestId ? {...toEntry(question, digest), x: 1} : undefined;
-		return {answer: {kind: 'free'}, entry};
+	release(request, digest, current) {
+		const entry: ClaimEntry | undefined = current?.r === request.requestId ? {...toEntry(request, digest), x: 1} : undefined;
+		return {response: {kind: 'free'}, entry};
 	},
 };
 
 /**
- Decides a batch of claims and releases in order; later ones see what earlier ones of the batch did.
+ Decides a batch of claims and releases in order; each one sees the effect of those before it.
 
- @param batch - Claims and releases in the order in which they came.
- @param find - The claim in force on a digest before the batch.
+ @param batch - Claims and releases in order of arrival.
+ @param find - Returns the claim in force for a digest before the batch.
  @example
- decideClaims(batch, () => undefined).entries.length; // one for each different key
+ decideClaims(batch, () => undefined).entries.length; // one per key
  */
 export function decideClaims(batch: readonly PendingClaim[], find: (digest: string) => ClaimEntry | undefined): ClaimDecision {
-	const answers = new Map<PendingClaim, ClaimResponse>();
-	const fresh = new Map<string, ClaimEntry>();
+	const responses = new Map<PendingClaim, ClaimResponse>();
+	const newEntries = new Map<string, ClaimEntry>();
 	for (const item of batch) {
-		const digest = toClaimDigest(item.question.account, item.question.key);
-		const known = fresh.get(digest) ?? find(digest);
-		const {answer, entry} = stepHandlers[item.kind](item.question, digest, known?.x === 1 ? undefined : known);
-		answers.set(item, answer);
+		const digest = toClaimDigest(item.request.account, item.request.key);
+		const latest = newEntries.get(digest) ?? find(digest);
+		const {response, entry} = kindHandlers[item.kind](item.request, digest, latest?.x === 1 ? undefined : latest);
+		responses.set(item, response);
 		if (entry !== undefined) {
-			fresh.set(digest, entry);
+			newEntries.set(digest, entry);
 		}
 	}
 
-	return {responses: answers, entries: fresh.values().toArray()};
+	return {responses, entries: newEntries.values().toArray()};
 }
 
-function toEntry(question: ClaimRequest, digest: string): ClaimEntry {
+function toEntry(request: ClaimRequest, digest: string): ClaimEntry {
 	return {
-		k: digest, r: question.requestId, n: question.node, f: question.fingerprint, t: Date.now(),
+		k: digest, r: request.requestId, n: request.node, f: request.fingerprint, t: Date.now(),
 	};
 }
--- a/outcome/claims/src/pending-claim.ts
+++ b/outcome/claims/src/pending-claim.ts
@@ -8,6 +8,6 @@
 */
 export type PendingClaim = {
 	readonly kind: 'claim' | 'release';
-	readonly question: ClaimRequest;
-	readonly settle: (answer: Result<ClaimResponse, ValvesaddleError>) => void;
+	readonly request: ClaimRequest;
+	readonly settle: (response: Result<ClaimResponse, ValvesaddleError>) => void;
 };
--- a/outcome/claims/src/to-claim-digest.ts
+++ b/outcome/claims/src/to-claim-digest.ts
@@ -3,7 +3,7 @@
 const digestLength = 22;
 
 /**
- Digest under which the claim of an account and key is stored.
+ Returns the digest under which the claim of an account and key is stored.
 
  @example
  toClaimDigest('sawmill', 'permit-77').length; // 22
--- a/outcome/claims/src/to-held-response.ts
+++ b/outcome/claims/src/to-held-response.ts
@@ -2,7 +2,7 @@
 import type {ClaimEntry} from './claim-entry.ts';
 
 /**
- The answer that another attempt holds the claim.
+ Returns the response for a claim that another attempt holds.
 
  @example
  toHeldAnswer(entry); // {kind: 'held', requestId: 'a1-9', node: 'a1', fingerprint: '…'}
--- a/outcome/claims/test/claim-shard.test.ts
+++ b/outcome/claims/test/claim-shard.test.ts
@@ -31,41 +31,41 @@
 	return {shard, metrics};
 }
 
-function createQuestion(key: string, requestId: string): ClaimRequest {
+function createRequest(key: string, requestId: string): ClaimRequest {
 	return {
 		account: 'sawmill', key, fingerprint: 'f', requestId, node: requestId.slice(0, 2),
 	};
 }
 
 async function claim(shard: ClaimShard, key: string, requestId: string): Promise<ClaimResponse['kind'] | string> {
-	const result = await shard.claim(createQuestion(key, requestId));
+	const result = await shard.claim(createRequest(key, requestId));
 	return result.isOk() ? result.value.kind : result.error.code;
 }
 
-test('of two attempts under one key only the first may run', async t => {
+test('only the first of two attempts with one key gets the claim', async t => {
 	const {shard} = createWriter(t, await startKv(t));
 	t.equal(await claim(shard, 'permit-1', 'n1_a'), 'claimed');
 	t.equal(await claim(shard, 'permit-1', 'n2_b'), 'held');
 	t.equal(await claim(shard, 'permit-2', 'n2_b'), 'claimed');
 });
 
-test('asking again for the same attempt gives the same answer', async t => {
+test('repeating a claim for the same attempt gives the same response', async t => {
 	const {shard} = createWriter(t, await startKv(t));
 	t.equal(await claim(shard, 'permit-1', 'n1_a'), 'claimed');
 	t.equal(await claim(shard, 'permit-1', 'n1_a'), 'claimed');
 });
 
-test('two writers at once never both let an attempt run', async t => {
+test('concurrent writers never grant one claim to two attempts', async t => {
 	const server = await startKv(t);
 	const writers = [createWriter(t, server), createWriter(t, server), createWriter(t, server)];
 	for (let round = 0; round < 20; round++) {
-		// eslint-disable-next-line no-await-in-loop -- rounds
-		const answers = await Promise.all(writers.map(async ({shard}, index) => claim(shard, `permit-${round}`, `n${index}_${round}`)));
-		t.equal(answers.filter(answer => answer === 'claimed').length, 1, answers.join(' '));
+		// eslint-disable-next-line no-await-in-loop -- rounds are sequential
+		const responses = await Promise.all(writers.map(async ({shard}, index) => claim(shard, `permit-${round}`, `n${index}_${round}`)));
+		t.equal(responses.filter(response => response === 'claimed').length, 1, responses.join(' '));
 	}
 });
 
-test('a writer that was paused while another one wrote is fenced off and sees its claims', async t => {
+test('a write by a paused writer is fenced off and the writer sees the claims of its successor', async t => {
 	const server = await startKv(t);
 	const paused = createWriter(t, server);
 	t.equal(await claim(paused.shard, 'permit-0', 'n1_a'), 'claimed');
@@ -77,32 +77,32 @@
 type LossCase = {
 	readonly fault: KvFault;
 	/**
-	What the caller is told when the fault hits its one write.
+	Result for the caller when the fault affects its write.
 	*/
-	readonly answer: string;
+	readonly expected: string;
 };
 
 const lossCases: readonly LossCase[] = [
-	{fault: 'drop-after', answer: 'claimed'},
-	{fault: 'drop-before', answer: 'claimed'},
-	{fault: 'late', answer: 'claimed'},
-	{fault: 'refuse', answer: 'ERR_VALVESADDLE_CLAIMS_UNAVAILABLE'},
+	{fault: 'drop-after', expected: 'claimed'},
+	{fault: 'drop-before', expected: 'claimed'},
+	{fault: 'late', expected: 'claimed'},
+	{fault: 'refuse', expected: 'ERR_VALVESADDLE_CLAIMS_UNAVAILABLE'},
 ];
 
-for (const {fault, answer} of lossCases) {
-	test(`a claim whose write meets "${fault}" is answered ${answer} and never given to a second attempt`, async t => {
+for (const {fault, expected} of lossCases) {
+	test(`with the fault "${fault}" on its write, a claim ends as ${expected} and is never granted to a second attempt`, async t => {
 		const server = await startKv(t);
 		const {shard} = createWriter(t, server);
 		t.equal(await claim(shard, 'warm-up', 'n1_w'), 'claimed');
 		server.failNextWrite(fault);
 		const first = await claim(shard, 'permit-1', 'n1_a');
-		t.equal(first, answer);
+		t.equal(first, expected);
 		const second = await claim(createWriter(t, server).shard, 'permit-1', 'n2_b');
 		t.equal(second, first === 'claimed' ? 'held' : 'claimed');
 	});
 }
 
-test('while the key-value service is down a claim is refused, and granted once it is back', async t => {
+test('a claim is refused while the key-value service is down and granted once it is available', async t => {
 	const server = await startKv(t);
 	const {shard} = createWriter(t, server);
 	server.setFault('refuse');
@@ -111,21 +111,21 @@
 	t.equal(await claim(shard, 'permit-1', 'n1_b'), 'claimed');
 });
 
-test('a claim given back by its own attempt is free again, by another attempt it is not', async t => {
+test('a claim released by its own attempt is free again; another attempt cannot release it', async t => {
 	const {shard} = createWriter(t, await startKv(t));
 	t.equal(await claim(shard, 'permit-1', 'n1_a'), 'claimed');
-	await shard.release(createQuestion('permit-1', 'n9_other'));
+	await shard.release(createRequest('permit-1', 'n9_other'));
 	t.equal(await claim(shard, 'permit-1', 'n2_b'), 'held');
-	await shard.release(createQuestion('permit-1', 'n1_a'));
+	await shard.release(createRequest('permit-1', 'n1_a'));
 	t.equal(await claim(shard, 'permit-1', 'n2_b'), 'claimed');
 });
 
-test('claims made together share writes', async t => {
+test('concurrent claims share writes', async t => {
 	const server = await startKv(t);
 	const {shard} = createWriter(t, server);
 	server.setDelay(5);
-	const answers = await Promise.all(Array.from({length: 200}, async (_, index) => claim(shard, `permit-${index}`, `n1_${index}`)));
-	t.ok(answers.every(answer => answer === 'claimed'));
+	const responses = await Promise.all(Array.from({length: 200}, async (_, index) => claim(shard, `permit-${index}`, `n1_${index}`)));
+	t.ok(responses.every(response => response === 'claimed'));
 	const writes = server.calls().put ?? 0;
 	t.ok(writes <= 5, `${writes} writes for 200 claims`);
 });
@@ -134,35 +134,35 @@
 	const server = await startKv(t);
 	const {shard} = createWriter(t, server);
 	for (let batch = 0; batch < 12; batch++) {
-		// eslint-disable-next-line no-await-in-loop -- one batch after the other
+		// eslint-disable-next-line no-await-in-loop -- batches are sequential
 		await Promise.all(Array.from({length: 100}, async (_, index) => claim(shard, `permit-${batch}-${index}`, `n1_${batch}-${index}`)));
 	}
 
 	t.ok(server.keys().filter(key => key.includes('/segment/')).length >= 3);
 	const successor = createWriter(t, server).shard;
 	for (const key of ['permit-0-0', 'permit-5-50', 'permit-11-99']) {
-		// eslint-disable-next-line no-await-in-loop -- one after the other
+		// eslint-disable-next-line no-await-in-loop -- lookups are sequential
 		t.equal(await claim(successor, key, 'n2_again'), 'held', key);
 	}
 });
 
-test('an archive write that is lost loses no claim', async t => {
+test('a lost archive write loses no claim', async t => {
 	const server = await startKv(t);
 	const first = createWriter(t, server);
 	for (let batch = 0; batch < 9; batch++) {
-		// eslint-disable-next-line no-await-in-loop -- one batch after the other
+		// eslint-disable-next-line no-await-in-loop -- batches are sequential
 		await Promise.all(Array.from({length: 100}, async (_, index) => claim(first.shard, `permit-${batch}-${index}`, `n1_${batch}-${index}`)));
 		server.failNextWrite(batch % 2 === 0 ? 'drop-before' : 'late');
 	}
 
 	const successor = createWriter(t, server).shard;
 	for (let batch = 0; batch < 9; batch++) {
-		// eslint-disable-next-line no-await-in-loop -- one after the other
+		// eslint-disable-next-line no-await-in-loop -- lookups are sequential
 		t.equal(await claim(successor, `permit-${batch}-7`, 'n2_again'), 'held');
 	}
 });
 
-test('a claim ends with its window', async t => {
+test('a claim expires after its window', async t => {
 	const server = await startKv(t);
 	const {shard} = createWriter(t, server, 1);
 	t.equal(await claim(shard, 'permit-1', 'n1_a'), 'claimed');
