--- a/outcome/answers/src/answer-end.ts
+++ b/outcome/answers/src/answer-end.ts
@@ -8,7 +8,7 @@
 	| {readonly kind: 'complete'; readonly finishReason: string; readonly tokens: number}
 	| {readonly kind: 'reply'; readonly reply: AnswerReply}
 	/**
-	Another attempt holds the claim; the answer is to be read there.
+	Another attempt holds the claim; the answer is read from that request.
 	*/
 	| {readonly kind: 'held'; readonly requestId: string; readonly node: string; readonly fingerprint: string}
 	| {
@@ -16,7 +16,7 @@
 		readonly code: ErrorCode;
 		readonly message: string;
 		/**
-		What may have happened, over all tries.
+		Whether the request may have run, over all attempts.
 		*/
 		readonly ran: Ran;
 		readonly retryAfterMs: number | undefined;
--- a/outcome/answers/src/answer-log-options.ts
+++ b/outcome/answers/src/answer-log-options.ts
@@ -5,7 +5,7 @@
 	readonly requestId: string;
 	readonly account: string;
 	/**
-	Called when the last reader has been gone for the grace time and the answer has not ended.
+	Called when an open answer has had no reader for `graceMs` after its last one detached.
 	*/
 	readonly onAbandoned: () => void;
 	readonly graceMs: number;
--- a/outcome/answers/src/answer-log.ts
+++ b/outcome/answers/src/answer-log.ts
@@ -2,7 +2,7 @@
 import type {AnswerSource} from './answer-source.ts';
 
 /**
-The answer to one request as far as it came; the request's execution writes it.
+Answer to one request as received so far, written by the request's execution.
 */
 export type AnswerLog = AnswerSource & {
 	readonly account: string;
@@ -10,11 +10,11 @@
 	readonly finish: (end: AnswerEnd) => void;
 	readonly end: () => AnswerEnd | undefined;
 	/**
-	Like `read`, but returns empty-handed after a time.
+	Like `read`, but returns an empty page after `waitMs` milliseconds without an update.
 	*/
 	readonly readWithin: (offset: number, waitMs: number) => ReturnType<AnswerSource['read']>;
 	/**
-	When it ended, in milliseconds since the epoch.
+	Time when the answer ended, in milliseconds since the epoch.
 	*/
 	readonly endedAt: () => number | undefined;
 	/**
--- a/outcome/answers/src/answer-page.ts
+++ b/outcome/answers/src/answer-page.ts
@@ -1,7 +1,7 @@
 import type {AnswerEnd} from './answer-end.ts';
 
 /**
-A piece of an answer: parts from an offset on, and the end once it is reached.
+Part of an answer: its deltas from an offset on, and the end once it is reached.
 */
 export type AnswerPage = {
 	/**
--- a/outcome/answers/src/answer-reply.ts
+++ b/outcome/answers/src/answer-reply.ts
@@ -1,5 +1,5 @@
 /**
-Whole reply of a plain service.
+Complete HTTP response of a plain service.
 */
 export type AnswerReply = {
 	readonly status: number;
--- a/outcome/answers/src/answer-source.ts
+++ b/outcome/answers/src/answer-source.ts
@@ -1,16 +1,16 @@
 import type {AnswerPage} from './answer-page.ts';
 
 /**
-Where an answer is read from: a log on this node, or one on another.
+Source of an answer: a log on this node or on a peer.
 */
 export type AnswerSource = {
 	readonly requestId: string;
 	/**
-	Waits until there is something past the offset, or the end.
+	Waits for parts after the offset or for the end.
 	*/
 	readonly read: (offset: number) => Promise<AnswerPage>;
 	/**
-	Tells that a reader comes or goes.
+	Registers a reader; `detach` removes one.
 	*/
 	readonly attach: () => void;
 	readonly detach: () => void;
--- a/outcome/answers/src/answer-store-options.ts
+++ b/outcome/answers/src/answer-store-options.ts
@@ -7,7 +7,7 @@
 	*/
 	readonly retentionMs: number;
 	/**
-	Most characters kept in ended answers; the oldest go first.
+	Maximum number of characters kept in ended answers; the oldest are removed first.
 	*/
 	readonly maximumCharacters: number;
 };
--- a/outcome/answers/src/answer-store.ts
+++ b/outcome/answers/src/answer-store.ts
@@ -1,13 +1,13 @@
 import type {AnswerLog} from './answer-log.ts';
 
 /**
-The answers that a node holds: those under way, and ended ones for a while.
+Answers on a node: open ones, and ended ones for a limited time.
 */
 export type AnswerStore = {
 	readonly add: (log: AnswerLog) => void;
 	readonly find: (requestId: string) => AnswerLog | undefined;
 	/**
-	Answers under way.
+	Request IDs of the open answers.
 	*/
 	readonly openIds: () => readonly string[];
 	readonly close: () => void;
--- a/outcome/answers/src/create-answer-log.ts
+++ b/outcome/answers/src/create-answer-log.ts
@@ -5,7 +5,7 @@
 import type {AnswerPage} from './answer-page.ts';
 
 /**
- Creates the log of one answer. Nothing is appended after the end, so a late answer changes nothing.
+ Creates the log of one answer. Parts and ends that arrive after the first end are ignored.
 
  @example
  const log = createAnswerLog({requestId, account: 'sawmill', onAbandoned() {}, graceMs: 5000});
@@ -17,16 +17,16 @@
 	let endedAt: number | undefined;
 	let size = 0;
 	let readers = 0;
-	let wake = Promise.withResolvers<void>();
-	let grace: NodeJS.Timeout | undefined;
+	let updated = Promise.withResolvers<void>();
+	let graceTimer: NodeJS.Timeout | undefined;
 
-	function settleReaders(): void {
-		const {resolve} = wake;
-		wake = Promise.withResolvers<void>();
+	function settleReads(): void {
+		const {resolve} = updated;
+		updated = Promise.withResolvers<void>();
 		resolve();
 	}
 
-	function hasNews(offset: number): boolean {
+	function hasUpdate(offset: number): boolean {
 		return parts.length > offset || end !== undefined;
 	}
 
@@ -44,36 +44,36 @@
 
 			parts.push(part);
 			size += part.length;
-			settleReaders();
+			settleReads();
 		},
-		finish(final) {
+		finish(finalEnd) {
 			if (end !== undefined) {
 				return;
 			}
 
-			end = final;
+			end = finalEnd;
 			endedAt = Date.now();
-			clearTimeout(grace);
-			settleReaders();
+			clearTimeout(graceTimer);
+			settleReads();
 		},
 		async read(offset) {
-			while (!hasNews(offset)) {
+			while (!hasUpdate(offset)) {
 				// eslint-disable-next-line no-await-in-loop -- waits for the next part
-				await wake.promise;
+				await updated.promise;
 			}
 
 			return getPage(offset);
 		},
 		async readWithin(offset, waitMs) {
-			if (!hasNews(offset)) {
-				await Promise.race([wake.promise, delay(waitMs, undefined, {ref: false})]);
+			if (!hasUpdate(offset)) {
+				await Promise.race([updated.promise, delay(waitMs, undefined, {ref: false})]);
 			}
 
 			return getPage(offset);
 		},
 		attach() {
 			readers++;
-			clearTimeout(grace);
+			clearTimeout(graceTimer);
 		},
 		detach() {
 			readers--;
@@ -81,8 +81,8 @@
 				return;
 			}
 
-			grace = setTimeout(options.onAbandoned, options.graceMs);
-			grace.unref();
+			graceTimer = setTimeout(options.onAbandoned, options.graceMs);
+			graceTimer.unref();
 		},
 		end: () => end,
 		endedAt: () => endedAt,
--- a/outcome/answers/src/create-answer-store.ts
+++ b/outcome/answers/src/create-answer-store.ts
@@ -2,18 +2,18 @@
 import type {AnswerStore} from './answer-store.ts';
 import type {AnswerStoreOptions} from './answer-store-options.ts';
 
-const sweepMs = 1000;
+const sweepIntervalMs = 1000;
 
 /**
- Creates the store of a node's answers.
+ Creates the answer store of a node.
 
  @example
- const store = createAnswerStore({keepMs: 600_000, keepSize: 16_000_000});
+ const store = createAnswerStore({retentionMs: 600_000, maximumCharacters: 16_000_000});
  */
 export function createAnswerStore(options: AnswerStoreOptions): AnswerStore {
 	const logs = new Map<string, AnswerLog>();
 
-	function removeOld(): void {
+	function removeExpired(): void {
 		const now = Date.now();
 		const ended = logs.values().filter(log => log.endedAt() !== undefined).toArray().toSorted((a, b) => (b.endedAt() ?? 0) - (a.endedAt() ?? 0));
 		let size = 0;
@@ -25,7 +25,7 @@
 		}
 	}
 
-	const timer = setInterval(removeOld, sweepMs);
+	const timer = setInterval(removeExpired, sweepIntervalMs);
 	timer.unref();
 
 	return {
--- a/outcome/answers/test/answer-log.test.ts
+++ b/outcome/answers/test/answer-log.test.ts
@@ -10,11 +10,11 @@
 	});
 }
 
-test('every reader gets every part from its offset on, and the end', async t => {
+test('each reader gets all parts from its offset on, and the end', async t => {
 	const log = createLog();
-	const early = log.read(0);
+	const pending = log.read(0);
 	log.append('a');
-	t.same(await early, {parts: ['a'], end: undefined});
+	t.same(await pending, {parts: ['a'], end: undefined});
 	log.append('b');
 	log.finish(complete);
 	t.same(await log.read(0), {parts: ['a', 'b'], end: complete});
@@ -22,7 +22,7 @@
 	t.same(await log.read(2), {parts: [], end: complete});
 });
 
-test('what comes after the end changes nothing', async t => {
+test('parts and ends after the first end are ignored', async t => {
 	const log = createLog();
 	log.finish(complete);
 	log.append('late');
@@ -30,7 +30,7 @@
 	t.same(await log.read(0), {parts: [], end: complete});
 });
 
-test('an answer is abandoned only when its last reader is gone for the grace time', t => {
+test('an answer is abandoned only after the grace time without a reader', t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	let abandoned = 0;
@@ -53,7 +53,7 @@
 	t.end();
 });
 
-test('ended answers are kept for their time and size, open ones always', t => {
+test('ended answers are removed by age and size, open ones are kept', t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const store = createAnswerStore({retentionMs: 10_000, maximumCharacters: 10});
