--- a/outcome/execution/src/attempt.ts
+++ b/outcome/execution/src/attempt.ts
@@ -5,24 +5,24 @@
 import type {Progress} from './progress.ts';
 
 /**
-One try of a request at one endpoint.
+One attempt of a request at one endpoint.
 */
 export type Attempt = {
 	readonly job: Job;
 	readonly grant: Grant;
 	readonly log: AnswerLog;
 	/**
-	What earlier attempts delivered; grows as this one does.
+	Progress over all attempts; this one adds to it.
 	*/
 	readonly progress: Progress;
 	readonly hop: HopSpan;
 	readonly signal: AbortSignal;
 	/**
-	Called at the first sign of an answer.
+	Called when the answer starts.
 	*/
 	readonly onFirstAnswer: () => void;
 	/**
-	Whether the budgets hold a retry.
+	Whether the retry budgets allow another attempt.
 	*/
 	readonly mayRetry: () => boolean;
 };
--- a/outcome/execution/src/claim-holder.ts
+++ b/outcome/execution/src/claim-holder.ts
@@ -1,19 +1,19 @@
 import type {AnswerEnd} from '@valvesaddle/answers';
 
 /**
-The claim of one request. Every method throws `ERR_VALVESADDLE_CLAIMS_UNAVAILABLE` when claims cannot be recorded.
+Claim of one request. Every method throws `ERR_VALVESADDLE_CLAIMS_UNAVAILABLE` when claims cannot be recorded.
 */
 export type ClaimHolder = {
 	/**
-	The end of the request if another attempt holds its key already.
+	Returns the end of the request if another attempt already holds its key.
 	*/
 	readonly findOther: () => Promise<AnswerEnd | undefined>;
 	/**
-	Claims the request once; the end of the request if another attempt holds its key.
+	Claims the request unless it is claimed already; returns the end of the request if another attempt holds its key.
 	*/
 	readonly claim: () => Promise<AnswerEnd | undefined>;
 	/**
-	Gives the claim back, if it is held; only for a request that surely did not run.
+	Releases the claim if it is held; only for a request that certainly did not run.
 	*/
 	readonly release: () => Promise<void>;
 };
--- a/outcome/execution/src/create-claim-holder.ts
+++ b/outcome/execution/src/create-claim-holder.ts
@@ -4,34 +4,34 @@
 import type {Result} from 'neverthrow';
 import type {ClaimHolder} from './claim-holder.ts';
 
-const unclaimed: ClaimHolder = {
+const noClaim: ClaimHolder = {
 	findOther: async () => undefined,
 	claim: async () => undefined,
 	async release() {
-		// There is nothing to give back.
+		// No claim to release.
 	},
 };
 
 /**
- Creates the claim of a request; without a question it is one that may run more than once and needs none.
+ Creates the claim of a request; without a claim request, the methods have no effect, since the request is repeatable.
 
  @example
- const held = await createClaimHolder(claims, question).claim();
+ const end = await createClaimHolder(claims, request).claim();
  */
-export function createClaimHolder(claims: ClaimClient, question: ClaimRequest | undefined): ClaimHolder {
-	if (question === undefined) {
-		return unclaimed;
+export function createClaimHolder(claims: ClaimClient, request: ClaimRequest | undefined): ClaimHolder {
+	if (request === undefined) {
+		return noClaim;
 	}
 
 	let isHeld = false;
 	return {
-		findOther: async () => toEnd(await claims.find(question)),
+		findOther: async () => toEnd(await claims.find(request)),
 		async claim() {
 			if (isHeld) {
 				return undefined;
 			}
 
-			const end = toEnd(await claims.claim(question));
+			const end = toEnd(await claims.claim(request));
 			isHeld = end === undefined;
 			return end;
 		},
@@ -41,15 +41,15 @@
 			}
 
 			isHeld = false;
-			await claims.release(question);
+			await claims.release(request);
 		},
 	};
 }
 
-function toEnd(answer: Result<ClaimResponse, ValvesaddleError>): AnswerEnd | undefined {
-	if (answer.isErr()) {
-		throw answer.error;
+function toEnd(response: Result<ClaimResponse, ValvesaddleError>): AnswerEnd | undefined {
+	if (response.isErr()) {
+		throw response.error;
 	}
 
-	return answer.value.kind === 'held' ? answer.value : undefined;
+	return response.value.kind === 'held' ? response.value : undefined;
 }
--- a/outcome/execution/src/create-execution.ts
+++ b/outcome/execution/src/create-execution.ts
@@ -3,7 +3,7 @@
 import type {Grant} from '@valvesaddle/messages';
 import {
 	advanceOutcome,
-	firstOutcome,
+	initialOutcome,
 	type Outcome,
 	type OutcomeEvent,
 } from '@valvesaddle/state';
@@ -33,7 +33,8 @@
 };
 
 /**
- Creates the execution of one request: queue, grant, claim, send, stream, and again elsewhere where that is allowed.
+ Creates the execution of one request: queues it, gets a grant, claims it, sends it, streams the answer, and retries at
+ another endpoint where that is allowed.
 
  @example
  const end = await createExecution({...options, job, log, budgets, signal}).run();
@@ -48,14 +49,15 @@
 	const claimHolder = createClaimHolder(options.claims, job.claim && {
 		...job.claim, account: job.account, requestId: job.requestId, node: options.node,
 	});
-	let outcome: Outcome = firstOutcome;
+	let outcome: Outcome = initialOutcome;
 
 	function advance(event: OutcomeEvent): void {
 		outcome = advanceOutcome(outcome, event);
 	}
 
 	/**
-	Gives the request up; its claim goes back where it surely did not run, so that the caller may send it again.
+	Ends the request with an error. Releases the claim of a request that certainly did not run, so that the caller can send
+	it again.
 	*/
 	async function endWithError(error: ValvesaddleError, event: OutcomeEvent = 'give-up'): Promise<AnswerEnd> {
 		advance(event);
@@ -67,7 +69,7 @@
 	}
 
 	async function acquire(): Promise<Grant> {
-		const wait = tracing.startHop('dispatch.wait', hop.carrier);
+		const waitHop = tracing.startHop('dispatch.wait', hop.carrier);
 		const grant = await dispatch.acquire({
 			requestId: job.requestId,
 			pool: job.pool.name,
@@ -80,42 +82,42 @@
 			session: job.session,
 			repeatable: job.claim === undefined,
 			avoid,
-			trace: wait.carrier,
+			trace: waitHop.carrier,
 		}, signal);
-		wait.end();
+		waitHop.end();
 		return unwrapResult(grant);
 	}
 
 	/**
-	Claims the request under a grant; gives the grant back when it may not run here.
+	Claims the request under a grant; releases the grant when the request cannot run here.
 	*/
 	async function claim(grant: Grant): Promise<AnswerEnd | undefined> {
-		let held: AnswerEnd | undefined;
+		let claimEnd: AnswerEnd | undefined;
 		try {
-			held = await claimHolder.claim();
+			claimEnd = await claimHolder.claim();
 		} catch (error) {
-			held = await endWithError(toValvesaddleError(error));
+			claimEnd = await endWithError(toValvesaddleError(error));
 		}
 
-		if (held !== undefined) {
+		if (claimEnd !== undefined) {
 			dispatch.release({
 				grantId: grant.grantId, outcome: 'cancelled', tokens: 0, firstTokenMs: undefined, interTokenMs: undefined,
 			});
 		}
 
-		return held;
+		return claimEnd;
 	}
 
 	async function runAttempt(grant: Grant): Promise<AttemptResult> {
 		const endpointHop = tracing.startHop('endpoint', hop.carrier);
 		endpointHop.setAttribute('endpoint', grant.endpointId);
 		const startedAt = Date.now();
-		const before = progress.tokens;
-		let firstAt: number | undefined;
+		const tokensBefore = progress.tokens;
+		let firstAnswerAt: number | undefined;
 		const attempt = {
 			job, grant, log, progress, hop: endpointHop, signal,
-			onFirst() {
-				firstAt = Date.now();
+			onFirstAnswer() {
+				firstAnswerAt = Date.now();
 				advance('first-answer');
 			},
 			mayRetry: () => options.budgets.canWithdraw(job.account, job.pool.name),
@@ -132,40 +134,40 @@
 			endpointHop.fail(failure.message);
 		}
 
-		const tokens = progress.tokens - before;
+		const tokens = progress.tokens - tokensBefore;
 		dispatch.release({
 			grantId: grant.grantId,
 			outcome: toReleaseOutcome(result.error),
 			tokens,
-			firstTokenMs: firstAt === undefined ? undefined : firstAt - startedAt,
-			interTokenMs: firstAt !== undefined && tokens > 1 ? Math.round((Date.now() - firstAt) / (tokens - 1)) : undefined,
+			firstTokenMs: firstAnswerAt === undefined ? undefined : firstAnswerAt - startedAt,
+			interTokenMs: firstAnswerAt !== undefined && tokens > 1 ? Math.round((Date.now() - firstAnswerAt) / (tokens - 1)) : undefined,
 			retryAfterMs: result.error?.retryAfterMs,
 		});
 		endpointHop.end();
 		return result;
 	}
 
-	async function settleFailure(error: ValvesaddleError, grant: Grant): Promise<AnswerEnd | undefined> {
+	async function handleFailure(error: ValvesaddleError, grant: Grant): Promise<AnswerEnd | undefined> {
 		metrics.increment('attempts.failed', 1, {code: error.code});
 		if (error.code === 'ERR_VALVESADDLE_ENDPOINT_REJECTED') {
 			return endWithError(error, outcome.state === 'sent' ? 'reject' : 'give-up');
 		}
 
 		const next = decideNextStep({
-			error, job, progress, attempts: avoid.length + 1, canSpend: () => options.budgets.withdraw(job.account, job.pool.name),
+			error, job, progress, attempts: avoid.length + 1, withdrawRetry: () => options.budgets.withdraw(job.account, job.pool.name),
 		});
-		const isNotRun = error.traits.ran === 'no' && outcome.state === 'sent';
-		if (next === 'end' && !isNotRun) {
+		const hasNotRun = error.traits.ran === 'no' && outcome.state === 'sent';
+		if (next === 'end' && !hasNotRun) {
 			return endWithError(error);
 		}
 
-		advance(isNotRun ? 'not-run' : 'retry');
+		advance(hasNotRun ? 'not-run' : 'retry');
 		avoid.push(grant.endpointId);
 		return next === 'end' ? endWithError(error) : undefined;
 	}
 
 	/**
-	One grant and one attempt; `undefined` when another one follows.
+	Runs one attempt under its own grant; returns `undefined` when another one follows.
 	*/
 	async function runOnce(): Promise<AnswerEnd | undefined> {
 		let grant: Grant;
@@ -176,15 +178,15 @@
 		}
 
 		advance('grant');
-		const held = await claim(grant);
-		if (held !== undefined) {
-			return held;
+		const claimEnd = await claim(grant);
+		if (claimEnd !== undefined) {
+			return claimEnd;
 		}
 
 		advance('send');
 		const {end, error} = await runAttempt(grant);
 		if (error !== undefined) {
-			return settleFailure(error, grant);
+			return handleFailure(error, grant);
 		}
 
 		if (outcome.state === 'sent') {
@@ -196,9 +198,9 @@
 	}
 
 	/**
-	Looks whether the key was used before, so that a repetition does not wait for a grant.
+	Checks whether another attempt holds the key, so that a repeated request does not wait for a grant.
 	*/
-	async function findHeld(): Promise<AnswerEnd | undefined> {
+	async function findClaimEnd(): Promise<AnswerEnd | undefined> {
 		try {
 			return await claimHolder.findOther();
 		} catch (error) {
@@ -208,13 +210,13 @@
 
 	return {
 		async run() {
-			let end = await findHeld();
+			let end = await findClaimEnd();
 			if (end === undefined) {
 				advance('queue');
 			}
 
 			while (end === undefined) {
-				// eslint-disable-next-line no-await-in-loop -- an attempt follows on the one before
+				// eslint-disable-next-line no-await-in-loop -- attempts are sequential
 				end = await runOnce();
 			}
 
--- a/outcome/execution/src/create-executor.ts
+++ b/outcome/execution/src/create-executor.ts
@@ -19,15 +19,15 @@
 	const events = new Emittery<ExecutorEvents>();
 	const budgets = createRetryBudgets();
 	const openByAccount = new Map<string, number>();
-	let open = 0;
+	let openCount = 0;
 
-	function addOpen(account: string, by: 1 | -1): void {
-		open += by;
-		const left = (openByAccount.get(account) ?? 0) + by;
-		if (left === 0) {
+	function updateOpen(account: string, change: 1 | -1): void {
+		openCount += change;
+		const count = (openByAccount.get(account) ?? 0) + change;
+		if (count === 0) {
 			openByAccount.delete(account);
 		} else {
-			openByAccount.set(account, left);
+			openByAccount.set(account, count);
 		}
 	}
 
@@ -43,8 +43,8 @@
 			});
 			options.metrics.increment('requests.internal-failures');
 		} finally {
-			addOpen(job.account, -1);
-			if (open === 0) {
+			updateOpen(job.account, -1);
+			if (openCount === 0) {
 				void events.emit('idle');
 			}
 		}
@@ -59,7 +59,7 @@
 				account: job.account,
 				graceMs: options.abandonMs,
 				onAbandoned() {
-					// What runs at most once runs to its end, so that a caller who comes back finds the answer.
+					// A request that may run only once is completed, so that its caller can read the answer on a retry.
 					if (job.claim === undefined) {
 						abandoned.abort();
 					}
@@ -68,11 +68,11 @@
 			options.answers.add(log);
 			options.metrics.increment('requests.accepted', 1, {class: job.requestClass.name});
 			budgets.deposit(job.account, job.pool.name);
-			addOpen(job.account, 1);
+			updateOpen(job.account, 1);
 			void run(job, log, abandoned.signal);
 			return log;
 		},
-		countOpen: () => open,
+		countOpen: () => openCount,
 		countOpenByAccount: account => openByAccount.get(account) ?? 0,
 	};
 }
--- a/outcome/execution/src/create-retry-budgets.ts
+++ b/outcome/execution/src/create-retry-budgets.ts
@@ -1,18 +1,18 @@
 import {addToBudget, takeFromBudget, type Budget} from '@valvesaddle/policy';
 import type {RetryBudgets} from './retry-budgets.ts';
 
-const firstBalance = 5;
+const initialBalance = 5;
 
 /**
  Creates the retry budgets of a node.
 
  @example
- budgets.earn('sawmill', 'drafting');
- budgets.spend('sawmill', 'drafting'); // true
+ budgets.deposit('sawmill', 'drafting');
+ budgets.withdraw('sawmill', 'drafting'); // true
  */
 export function createRetryBudgets(): RetryBudgets {
 	const budgets = new Map<string, Budget>();
-	const getBudget = (key: string): Budget => budgets.get(key) ?? {balance: firstBalance};
+	const getBudget = (key: string): Budget => budgets.get(key) ?? {balance: initialBalance};
 
 	return {
 		deposit(account, pool) {
--- a/outcome/execution/src/create-stall-detector.ts
+++ b/outcome/execution/src/create-stall-detector.ts
@@ -2,49 +2,49 @@
 import type {StallDetector} from './stall-detector.ts';
 
 type StallDetectorOptions = {
-	readonly limits: StallTimeouts;
+	readonly timeouts: StallTimeouts;
 	readonly signal: AbortSignal;
 	/**
-	Whether an attempt without a first token may be cut, since its retry needs budget.
+	Whether an attempt without a first token may be aborted, since its retry needs budget.
 	*/
-	readonly mayCut: () => boolean;
+	readonly mayAbort: () => boolean;
 };
 
 /**
- Creates the watch of one attempt. An engine that freezes keeps its connections open, so that nothing but its silence
- tells.
+ Creates the stall detector of one attempt. An engine that hangs keeps its connections open, so only missing tokens reveal
+ it.
 
  @example
- const watch = createSilenceWatch({limits, signal, mayCut: () => true});
+ const detector = createStallDetector({timeouts, signal, mayAbort: () => true});
  */
-export function createStallDetector({limits, signal, mayCut}: StallDetectorOptions): StallDetector {
-	const cut = new AbortController();
+export function createStallDetector({timeouts, signal, mayAbort}: StallDetectorOptions): StallDetector {
+	const stalled = new AbortController();
 	let hasToken = false;
 	let timer: NodeJS.Timeout | undefined;
 
-	function startTimer(limitMs: number): void {
+	function startTimer(timeoutMs: number): void {
 		clearTimeout(timer);
-		if (!Number.isFinite(limitMs)) {
+		if (!Number.isFinite(timeoutMs)) {
 			return;
 		}
 
 		timer = setTimeout(() => {
-			if (hasToken || mayCut()) {
-				cut.abort();
+			if (hasToken || mayAbort()) {
+				stalled.abort();
 			}
-		}, limitMs);
+		}, timeoutMs);
 		timer.unref();
 	}
 
-	startTimer(limits.beforeFirstTokenMs);
+	startTimer(timeouts.beforeFirstTokenMs);
 
 	return {
-		signal: AbortSignal.any([signal, cut.signal]),
+		signal: AbortSignal.any([signal, stalled.signal]),
 		recordToken() {
 			hasToken = true;
-			startTimer(limits.betweenTokensMs);
+			startTimer(timeouts.betweenTokensMs);
 		},
-		isStalled: () => cut.signal.aborted,
+		isStalled: () => stalled.signal.aborted,
 		close() {
 			clearTimeout(timer);
 		},
--- a/outcome/execution/src/decide-next-step.ts
+++ b/outcome/execution/src/decide-next-step.ts
@@ -3,10 +3,7 @@
 import type {NextStep} from './next-step.ts';
 import type {Progress} from './progress.ts';
 
-/**
-Endpoints tried for one request.
-*/
-const mostAttempts = 5;
+const maximumAttempts = 5;
 
 type FailedAttempt = {
 	readonly error: ValvesaddleError;
@@ -17,22 +14,22 @@
 	*/
 	readonly attempts: number;
 	/**
-	Takes a retry out of the budgets; false when they hold none.
+	Withdraws a retry from the budgets; false when one of them is exhausted.
 	*/
-	readonly canSpend: () => boolean;
+	readonly withdrawRetry: () => boolean;
 };
 
 /**
- Decides what follows on a failed attempt. What surely did not run may always go elsewhere; what may have run only if it
- is repeatable, and before its first token only within the retry budgets. An answer under way is never given up for want
- of budget: its tokens would be wasted.
+ Decides what follows a failed attempt. A request that certainly did not run may always be retried; one that may have run
+ only if it is repeatable and, before its first token, only within the retry budgets. After the first token no budget is
+ needed, since ending the answer would waste its tokens.
 
  @example
- decideNextStep({error, job, progress, attempts: 1, canSpend: () => true}); // 'retry'
+ decideNextStep({error, job, progress, attempts: 1, withdrawRetry: () => true}); // 'retry'
  */
-export function decideNextStep({error, job, progress, attempts, canSpend}: FailedAttempt): NextStep {
+export function decideNextStep({error, job, progress, attempts, withdrawRetry}: FailedAttempt): NextStep {
 	const canContinue = progress.tokens === 0 || progress.isPlainText;
-	if (!canContinue || error.code === 'ERR_VALVESADDLE_CANCELLED' || attempts >= mostAttempts) {
+	if (!canContinue || error.code === 'ERR_VALVESADDLE_CANCELLED' || attempts >= maximumAttempts) {
 		return 'end';
 	}
 
@@ -40,6 +37,6 @@
 		return 'retry';
 	}
 
-	const isMayRunAgain = job.claim === undefined && (progress.tokens > 0 || canSpend());
-	return isMayRunAgain ? 'retry' : 'end';
+	const canRunAgain = job.claim === undefined && (progress.tokens > 0 || withdrawRetry());
+	return canRunAgain ? 'retry' : 'end';
 }
--- a/outcome/execution/src/engine-work.ts
+++ b/outcome/execution/src/engine-work.ts
@@ -1,5 +1,5 @@
 /**
-A chat completion.
+Chat completion that an engine runs.
 */
 export type EngineWork = {
 	readonly kind: 'engine';
--- a/outcome/execution/src/execution.ts
+++ b/outcome/execution/src/execution.ts
@@ -1,11 +1,11 @@
 import type {AnswerEnd} from '@valvesaddle/answers';
 
 /**
-The execution of one request.
+Execution of one request.
 */
 export type Execution = {
 	/**
-	Runs it to its end.
+	Runs the request to its end.
 	*/
 	readonly run: () => Promise<AnswerEnd>;
 };
--- a/outcome/execution/src/executor-events.ts
+++ b/outcome/execution/src/executor-events.ts
@@ -1,5 +1,5 @@
 /**
-What the executor tells.
+Events that an executor emits, without data.
 */
 export type ExecutorEvents = {
 	/**
--- a/outcome/execution/src/executor-options.ts
+++ b/outcome/execution/src/executor-options.ts
@@ -17,7 +17,7 @@
 	readonly claims: ClaimClient;
 	readonly answers: AnswerStore;
 	/**
-	Time for which an answer without a reader goes on, in milliseconds.
+	Time after which an answer without a reader is abandoned, in milliseconds.
 	*/
 	readonly abandonMs: number;
 	readonly tracing: Tracing;
--- a/outcome/execution/src/executor.ts
+++ b/outcome/execution/src/executor.ts
@@ -4,17 +4,17 @@
 import type {Job} from './job.ts';
 
 /**
-Runs accepted requests to their end, whether their callers stay or not.
+Runs accepted requests to their end, independently of their callers' connections.
 */
 export type Executor = {
 	readonly events: Emittery<ExecutorEvents>;
 	/**
-	Begins a request; its answer is read from the log.
+	Starts a request; its answer is read from the log.
 	*/
 	readonly start: (job: Job) => AnswerLog;
 	readonly countOpen: () => number;
 	/**
-	Open requests of one client account.
+	Number of open requests of one client account.
 	*/
 	readonly countOpenByAccount: (account: string) => number;
 };
--- a/outcome/execution/src/get-stall-timeouts.ts
+++ b/outcome/execution/src/get-stall-timeouts.ts
@@ -1,31 +1,33 @@
 import type {Job} from './job.ts';
 import type {StallTimeouts} from './stall-timeouts.ts';
 
-const shortestMs = 500;
+const minimumTimeoutMs = 500;
 /**
-First-token targets that an attempt may take: by then the target is missed, and another endpoint is the better bet.
+Timeout before the first token, as a multiple of its target: the target is missed by then, and another endpoint is
+likely to be faster.
 */
-const urgentTargets = 2;
-const sharedTargets = 4;
+const urgentTargetFactor = 2;
+const defaultTargetFactor = 4;
 /**
-Steps that an urgent answer may pause; engines pause lower work for urgent work, so that one has no such limit.
+Timeout between tokens of an urgent answer, as a multiple of the target. Other answers have none, since engines preempt
+them for urgent ones.
 */
-const urgentSteps = 40;
+const urgentTokenFactor = 40;
 
 /**
- Limits of silence for the attempts of a request. Only a request that may run more than once has any.
+ Returns the stall timeouts for the attempts of a request. Only a request that may run more than once has any.
 
  @example
- getSilenceLimits(job); // {beforeFirstTokenMs: 1660, betweenTokensMs: 2080}
+ getStallTimeouts(job); // {beforeFirstTokenMs: 1660, betweenTokensMs: 2080}
  */
 export function getStallTimeouts({claim, pool, requestClass}: Job): StallTimeouts {
 	if (claim !== undefined) {
 		return {beforeFirstTokenMs: Infinity, betweenTokensMs: Infinity};
 	}
 
-	const targets = requestClass.urgent ? urgentTargets : sharedTargets;
+	const targetFactor = requestClass.urgent ? urgentTargetFactor : defaultTargetFactor;
 	return {
-		beforeFirstTokenMs: Math.max(shortestMs, requestClass.firstTokenTargetMs * targets),
-		betweenTokensMs: requestClass.urgent ? Math.max(shortestMs, pool.interTokenTargetMs * urgentSteps) : Infinity,
+		beforeFirstTokenMs: Math.max(minimumTimeoutMs, requestClass.firstTokenTargetMs * targetFactor),
+		betweenTokensMs: requestClass.urgent ? Math.max(minimumTimeoutMs, pool.interTokenTargetMs * urgentTokenFactor) : Infinity,
 	};
 }
--- a/outcome/execution/src/job-claim.ts
+++ b/outcome/execution/src/job-claim.ts
@@ -1,5 +1,5 @@
 /**
-What a non-repeatable request is claimed under.
+Idempotency key and fingerprint under which a non-repeatable request is claimed.
 */
 export type JobClaim = {
 	readonly key: string;
--- a/outcome/execution/src/job.ts
+++ b/outcome/execution/src/job.ts
@@ -5,7 +5,7 @@
 import type {ServiceWork} from './service-work.ts';
 
 /**
-An accepted request with all that its execution needs.
+Accepted request with all data for its execution.
 */
 export type Job = {
 	readonly requestId: string;
@@ -20,7 +20,7 @@
 	readonly claim: JobClaim | undefined;
 	readonly trace: TraceCarrier;
 	/**
-	Milliseconds since the epoch.
+	Time of arrival, in milliseconds since the epoch.
 	*/
 	readonly arrivedAt: number;
 	readonly work: EngineWork | ServiceWork;
--- a/outcome/execution/src/next-step.ts
+++ b/outcome/execution/src/next-step.ts
@@ -1,7 +1,7 @@
 /**
- What follows on a failed attempt.
+ Step after a failed attempt.
 
- - `retry`: another endpoint, from where the answer ended.
- - `end`: the request is given up.
+ - `retry`: another attempt that continues the answer.
+ - `end`: the request fails.
  */
 export type NextStep = 'retry' | 'end';
--- a/outcome/execution/src/progress.ts
+++ b/outcome/execution/src/progress.ts
@@ -1,11 +1,11 @@
 /**
-What a request delivered so far, over all attempts.
+Data delivered for a request so far, over all attempts.
 */
 export type Progress = {
 	text: string;
 	tokens: number;
 	/**
-	Whether every part was plain text, so that another endpoint can go on from it.
+	Whether all parts were plain text, so that another endpoint can continue the answer.
 	*/
 	isPlainText: boolean;
 	/**
--- a/outcome/execution/src/record-end.ts
+++ b/outcome/execution/src/record-end.ts
@@ -10,7 +10,7 @@
 };
 
 /**
- Counts the end of a request: attainment, delivered and wasted tokens.
+ Records the metrics of an ended request: first-token latency, whether it met its objective, delivered and wasted tokens.
 
  @example
  recordEnd(metrics, {job, end, progress});
--- a/outcome/execution/src/retry-budgets.ts
+++ b/outcome/execution/src/retry-budgets.ts
@@ -1,14 +1,14 @@
 /**
-Budgets of retries by client account and pool, so that retries never amplify an overload.
+Retry budgets by client account and pool, so that retries do not amplify an overload.
 */
 export type RetryBudgets = {
 	readonly deposit: (account: string, pool: string) => void;
 	/**
-	Whether both budgets hold a retry.
+	Whether both budgets allow a retry.
 	*/
 	readonly canWithdraw: (account: string, pool: string) => boolean;
 	/**
-	Takes a retry out of both budgets; false when one of them has none left.
+	Withdraws a retry from both budgets; false when one of them is exhausted.
 	*/
 	readonly withdraw: (account: string, pool: string) => boolean;
 };
--- a/outcome/execution/src/run-engine-attempt.ts
+++ b/outcome/execution/src/run-engine-attempt.ts
@@ -9,35 +9,35 @@
 import type {StallDetector} from './stall-detector.ts';
 
 /**
-Clients that an attempt at an engine uses.
+Clients for an attempt at an engine.
 */
-type EngineTools = {
+type EngineClients = {
 	readonly engines: EngineClient;
 	readonly dispatch: DispatchClient;
 };
 
 /**
- Streams a completion from an engine into the log, from where earlier attempts ended.
+ Streams a completion from an engine into the log, continuing where earlier attempts ended.
 
- @throws `ValvesaddleError` that says whether the engine may have run the request.
+ @throws `ValvesaddleError` whose traits tell whether the engine may have run the request.
  @example
  const end = await runEngineAttempt(attempt, work, {engines, dispatch});
  */
-export async function runEngineAttempt(attempt: Attempt, work: EngineWork, {engines, dispatch}: EngineTools): Promise<AnswerEnd> {
-	const watch = createStallDetector({limits: getStallTimeouts(attempt.job), signal: attempt.signal, mayCut: attempt.mayRetry});
+export async function runEngineAttempt(attempt: Attempt, work: EngineWork, {engines, dispatch}: EngineClients): Promise<AnswerEnd> {
+	const detector = createStallDetector({timeouts: getStallTimeouts(attempt.job), signal: attempt.signal, mayAbort: attempt.mayRetry});
 	try {
-		return await readStream(attempt, watch, work, {engines, dispatch});
+		return await readStream(attempt, detector, work, {engines, dispatch});
 	} catch (error) {
-		throw watch.isStalled() ? new ValvesaddleError('ERR_VALVESADDLE_ENDPOINT_FAILED', 'the engine was silent for too long', {cause: error}) : error;
+		throw detector.isStalled() ? new ValvesaddleError('ERR_VALVESADDLE_ENDPOINT_FAILED', 'the engine sent no token before the stall timeout', {cause: error}) : error;
 	} finally {
-		watch.close();
+		detector.close();
 	}
 }
 
-async function readStream(attempt: Attempt, watch: StallDetector, work: EngineWork, {engines, dispatch}: EngineTools): Promise<AnswerEnd> {
+async function readStream(attempt: Attempt, detector: StallDetector, work: EngineWork, {engines, dispatch}: EngineClients): Promise<AnswerEnd> {
 	const {job, grant, log, progress} = attempt;
 	const startedAt = Date.now();
-	const before = progress.tokens;
+	const tokensBefore = progress.tokens;
 	let firstTokenMs: number | undefined;
 	let finishReason = 'stop';
 	const stream = engines.stream({
@@ -47,7 +47,7 @@
 		textSoFar: progress.text,
 		tokensSoFar: progress.tokens,
 		trace: attempt.hop.carrier,
-	}, watch.signal);
+	}, detector.signal);
 	for await (const event of stream) {
 		if (event.kind === 'finish') {
 			finishReason = event.reason;
@@ -61,12 +61,12 @@
 			attempt.onFirstAnswer();
 		}
 
-		watch.recordToken();
+		detector.recordToken();
 		progress.text += event.text;
 		progress.tokens++;
 		progress.isPlainText &&= isPlainText(event.delta);
 		log.append(JSON.stringify(event.delta));
-		dispatch.progress(grant.grantId, progress.tokens - before, firstTokenMs);
+		dispatch.progress(grant.grantId, progress.tokens - tokensBefore, firstTokenMs);
 	}
 
 	return {kind: 'complete', finishReason, tokens: progress.tokens};
--- a/outcome/execution/src/run-service-attempt.ts
+++ b/outcome/execution/src/run-service-attempt.ts
@@ -4,9 +4,9 @@
 import type {ServiceWork} from './service-work.ts';
 
 /**
- Calls a plain service once.
+ Calls a plain service.
 
- @throws `ValvesaddleError` that says whether the service may have run the request.
+ @throws `ValvesaddleError` whose traits tell whether the service may have run the request.
  @example
  const end = await runServiceAttempt(attempt, work, services);
  */
--- a/outcome/execution/src/service-work.ts
+++ b/outcome/execution/src/service-work.ts
@@ -1,5 +1,5 @@
 /**
-A call of a plain service.
+Call to a plain service.
 */
 export type ServiceWork = {
 	readonly kind: 'service';
--- a/outcome/execution/src/stall-detector.ts
+++ b/outcome/execution/src/stall-detector.ts
@@ -1,17 +1,17 @@
 /**
-Watches an attempt for silence.
+Aborts an attempt that receives no token in time.
 */
 export type StallDetector = {
 	/**
-	Aborted when the attempt was silent for too long, or by the request's own signal.
+	Aborted when the attempt stalls or the request's own signal is aborted.
 	*/
 	readonly signal: AbortSignal;
 	/**
-	Notes a token.
+	Restarts the timeout after a token.
 	*/
 	readonly recordToken: () => void;
 	/**
-	Whether the attempt was cut short for its silence.
+	Whether the attempt was aborted because it stalled.
 	*/
 	readonly isStalled: () => boolean;
 	readonly close: () => void;
--- a/outcome/execution/src/stall-timeouts.ts
+++ b/outcome/execution/src/stall-timeouts.ts
@@ -1,5 +1,5 @@
 /**
-How long an attempt may be silent before it is cut short and goes on elsewhere, in milliseconds.
+Time without a token after which an attempt is aborted and retried at another endpoint, in milliseconds.
 */
 export type StallTimeouts = {
 	readonly beforeFirstTokenMs: number;
--- a/outcome/execution/src/to-error-end.ts
+++ b/outcome/execution/src/to-error-end.ts
@@ -6,8 +6,8 @@
 const claimRetryAfterMs = 2000;
 
 /**
- The words for a request that is given up. What may have happened follows from the state of the request over all its
- attempts; the last attempt's code is kept only where it does not say otherwise.
+ Returns the end of a request that failed. Whether it may have run is decided over all its attempts; the code of the last
+ attempt is kept only where it does not contradict that.
 
  @example
  toErrorEnd(error, {state: 'refused', ran: 'no'}, job);
--- a/outcome/execution/src/to-release-outcome.ts
+++ b/outcome/execution/src/to-release-outcome.ts
@@ -2,7 +2,7 @@
 import type {ReleaseOutcome} from '@valvesaddle/messages';
 
 /**
- What the end of an attempt says about its endpoint.
+ Returns the outcome of an attempt that is reported with the release of its grant.
 
  @example
  toReleaseOutcome(undefined); // 'complete'
--- a/outcome/execution/test/decisions.test.ts
+++ b/outcome/execution/test/decisions.test.ts
@@ -24,7 +24,7 @@
 };
 const claimed: Job = {...job, claim: {key: 'permit-1', fingerprint: 'f'}};
 
-function decide(code: ErrorCode, part: {readonly job?: Job; readonly tokens?: number; readonly isPlainText?: boolean; readonly attempts?: number; readonly canSpend?: boolean} = {}) {
+function decide(code: ErrorCode, part: {readonly job?: Job; readonly tokens?: number; readonly isPlainText?: boolean; readonly attempts?: number; readonly hasBudget?: boolean} = {}) {
 	return decideNextStep({
 		error: new ValvesaddleError(code, ''),
 		job: part.job ?? job,
@@ -32,11 +32,11 @@
 			text: '', tokens: part.tokens ?? 0, isPlainText: part.isPlainText ?? true, firstTokenAt: undefined,
 		},
 		attempts: part.attempts ?? 1,
-		canSpend: () => part.canSpend ?? true,
+		withdrawRetry: () => part.hasBudget ?? true,
 	});
 }
 
-test('a claimed request that may have run is never sent again, whatever failed', t => {
+test('a claimed request that may have run is never sent again, whatever the error', t => {
 	fc.assert(fc.property(fc.constantFrom(...codes), fc.nat(10), fc.boolean(), fc.nat(6), (code, tokens, isPlainText, attempts) => {
 		const next = decide(code, {
 			job: claimed, tokens, isPlainText, attempts,
@@ -46,25 +46,25 @@
 	t.end();
 });
 
-test('a retry before the first token needs budget, one of an answer under way does not', t => {
-	t.equal(decide('ERR_VALVESADDLE_ENDPOINT_FAILED', {canSpend: false}), 'end');
-	t.equal(decide('ERR_VALVESADDLE_ENDPOINT_FAILED', {canSpend: true}), 'retry');
-	t.equal(decide('ERR_VALVESADDLE_ENDPOINT_FAILED', {canSpend: false, tokens: 5}), 'retry');
-	t.equal(decide('ERR_VALVESADDLE_ENDPOINT_NOT_RUN', {canSpend: false}), 'retry');
+test('a retry needs budget before the first token and none after it', t => {
+	t.equal(decide('ERR_VALVESADDLE_ENDPOINT_FAILED', {hasBudget: false}), 'end');
+	t.equal(decide('ERR_VALVESADDLE_ENDPOINT_FAILED', {hasBudget: true}), 'retry');
+	t.equal(decide('ERR_VALVESADDLE_ENDPOINT_FAILED', {hasBudget: false, tokens: 5}), 'retry');
+	t.equal(decide('ERR_VALVESADDLE_ENDPOINT_NOT_RUN', {hasBudget: false}), 'retry');
 	t.end();
 });
 
-test('an answer with more than text cannot be continued elsewhere', t => {
+test('an answer that is not plain text cannot be continued at another endpoint', t => {
 	t.equal(decide('ERR_VALVESADDLE_ENDPOINT_FAILED', {tokens: 5, isPlainText: false}), 'end');
 	t.end();
 });
 
-test('attempts come to an end', t => {
+test('the number of attempts is limited', t => {
 	t.equal(decide('ERR_VALVESADDLE_ENDPOINT_NOT_RUN', {attempts: 5}), 'end');
 	t.end();
 });
 
-test('no error whose request may have run carries a code that says "not run"', t => {
+test('no error of a request that may have run has a code that means "not run"', t => {
 	fc.assert(fc.property(fc.constantFrom(...codes), fc.constantFrom('maybe', 'yes'), fc.boolean(), (code, ran, isClaimed) => {
 		const end = toErrorEnd(new ValvesaddleError(code, ''), {state: 'failed', ran}, isClaimed ? claimed : job);
 		return end.kind === 'error' && end.ran === ran && errorTable[end.code].ran !== 'no';
--- a/outcome/execution/test/stall-detector.test.ts
+++ b/outcome/execution/test/stall-detector.test.ts
@@ -2,50 +2,50 @@
 import {test, type Test} from 'tap';
 import {createStallDetector} from '../src/create-stall-detector.ts';
 
-const limits = {beforeFirstTokenMs: 1000, betweenTokensMs: 200};
+const timeouts = {beforeFirstTokenMs: 1000, betweenTokensMs: 200};
 
-function start(t: Test, canCut = true) {
+function start(t: Test, canAbort = true) {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const own = new AbortController();
-	return {clock, own, watch: createStallDetector({limits, signal: own.signal, mayCut: () => canCut})};
+	return {clock, own, detector: createStallDetector({timeouts, signal: own.signal, mayAbort: () => canAbort})};
 }
 
-test('an attempt without a first token is cut at its limit and not before', t => {
-	const {clock, watch} = start(t);
+test('an attempt without a first token is aborted at its timeout and not before', t => {
+	const {clock, detector} = start(t);
 	clock.advance(999);
-	t.notOk(watch.signal.aborted);
+	t.notOk(detector.signal.aborted);
 	clock.advance(1);
-	t.ok(watch.signal.aborted);
-	t.ok(watch.isStalled());
+	t.ok(detector.signal.aborted);
+	t.ok(detector.isStalled());
 	t.end();
 });
 
-test('each token gives the attempt its whole limit again', t => {
-	const {clock, watch} = start(t);
+test('each token restarts the timeout', t => {
+	const {clock, detector} = start(t);
 	for (let token = 0; token < 20; token++) {
-		watch.recordToken();
+		detector.recordToken();
 		clock.advance(199);
 	}
 
-	t.notOk(watch.isStalled());
+	t.notOk(detector.isStalled());
 	clock.advance(1);
-	t.ok(watch.isStalled());
+	t.ok(detector.isStalled());
 	t.end();
 });
 
-test('without budget for a retry an attempt is not cut before its first token', t => {
-	const {clock, watch} = start(t, false);
+test('without budget for a retry an attempt is not aborted before its first token', t => {
+	const {clock, detector} = start(t, false);
 	clock.advance(5000);
-	t.notOk(watch.isStalled());
+	t.notOk(detector.isStalled());
 	t.end();
 });
 
-test('a request that its caller gave up is aborted, but not for silence', t => {
-	const {own, watch} = start(t);
+test('a cancelled request is aborted but not reported as stalled', t => {
+	const {own, detector} = start(t);
 	own.abort();
-	t.ok(watch.signal.aborted);
-	t.notOk(watch.isStalled());
-	watch.close();
+	t.ok(detector.signal.aborted);
+	t.notOk(detector.isStalled());
+	detector.close();
 	t.end();
 });
--- a/outcome/state/src/advance-outcome.ts
+++ b/outcome/state/src/advance-outcome.ts
@@ -4,19 +4,19 @@
 import {outcomeTransitions} from './outcome-transitions.ts';
 
 /**
- Takes a request one step on.
+ Applies an event to the outcome of a request.
 
- What may have run is never taken back: a request that an endpoint failed on stays `maybe`, even if the next endpoint
- says that it did not run it.
+ `ran` never reverts to a weaker value: after one endpoint failed it stays `maybe`, even if the next endpoint reports that
+ it did not run the request.
 
- @throws `ERR_VALVESADDLE_INTERNAL` on a step that the table does not have.
+ @throws `ERR_VALVESADDLE_INTERNAL` for an event that the state does not allow.
  @example
  advanceOutcome({state: 'sent', ran: 'no'}, 'not-run'); // {state: 'queued', ran: 'no'}
  */
 export function advanceOutcome(outcome: Outcome, event: OutcomeEvent): Outcome {
 	const state = outcomeTransitions[outcome.state][event];
 	if (state === undefined) {
-		throw new ValvesaddleError('ERR_VALVESADDLE_INTERNAL', `a request that is ${outcome.state} cannot take the step ${event}`);
+		throw new ValvesaddleError('ERR_VALVESADDLE_INTERNAL', `a request in the state ${outcome.state} does not allow the event ${event}`);
 	}
 
 	return state === 'refused' && outcome.ran !== 'no' ? {state: 'failed', ran: outcome.ran} : {state, ran: ranAfter[event](outcome)};
--- a/outcome/state/src/index.ts
+++ b/outcome/state/src/index.ts
@@ -1,5 +1,5 @@
 export {advanceOutcome} from './advance-outcome.ts';
-export {initialOutcome as firstOutcome} from './initial-outcome.ts';
+export {initialOutcome} from './initial-outcome.ts';
 export {isFinal} from './is-final.ts';
 export type {Outcome} from './outcome.ts';
 export type {OutcomeEvent} from './outcome-event.ts';
--- a/outcome/state/src/initial-outcome.ts
+++ b/outcome/state/src/initial-outcome.ts
@@ -1,6 +1,6 @@
 import type {Outcome} from './outcome.ts';
 
 /**
-Outcome of a request that was just accepted.
+Outcome of a newly accepted request.
 */
 export const initialOutcome: Outcome = {state: 'accepted', ran: 'no'};
--- a/outcome/state/src/is-final.ts
+++ b/outcome/state/src/is-final.ts
@@ -2,7 +2,7 @@
 import {outcomeTransitions} from './outcome-transitions.ts';
 
 /**
- Tells whether a state is an end.
+ Returns whether a state has no further transitions.
 
  @example
  isFinal('complete'); // true
--- a/outcome/state/src/outcome-event.ts
+++ b/outcome/state/src/outcome-event.ts
@@ -1,5 +1,5 @@
 /**
-What happens to a request.
+Event in the life cycle of a request.
 */
 export type OutcomeEvent =
 	| 'queue'
@@ -7,11 +7,11 @@
 	| 'send'
 	| 'first-answer'
 	/**
-	The endpoint surely did not run it.
+	The endpoint certainly did not run the request.
 	*/
 	| 'not-run'
 	/**
-	The endpoint found fault with the request before running it.
+	The endpoint rejected the request as invalid before running it.
 	*/
 	| 'reject'
 	/**
--- a/outcome/state/src/outcome-state.ts
+++ b/outcome/state/src/outcome-state.ts
@@ -1,4 +1,4 @@
 /**
-Where a request stands. The words given to its caller follow from this alone.
+State of a request.
 */
 export type OutcomeState = 'accepted' | 'queued' | 'granted' | 'sent' | 'streaming' | 'complete' | 'refused' | 'failed';
--- a/outcome/state/src/outcome-transitions.ts
+++ b/outcome/state/src/outcome-transitions.ts
@@ -2,7 +2,7 @@
 import type {OutcomeState} from './outcome-state.ts';
 
 /**
-Every allowed step. `give-up` ends as `refused` only where nothing can have run.
+All allowed transitions. `give-up` leads to `refused` only where the request cannot have run.
 */
 export const outcomeTransitions: Readonly<Record<OutcomeState, Readonly<Partial<Record<OutcomeEvent, OutcomeState>>>>> = {
 	accepted: {queue: 'queued', 'give-up': 'refused'},
--- a/outcome/state/src/outcome.ts
+++ b/outcome/state/src/outcome.ts
@@ -2,12 +2,12 @@
 import type {OutcomeState} from './outcome-state.ts';
 
 /**
-State of a request and what it has been through.
+State of a request and whether it may have run.
 */
 export type Outcome = {
 	readonly state: OutcomeState;
 	/**
-	What may have happened at endpoints so far; never goes back.
+	Whether an endpoint may have run the request so far; never reverts to a weaker value.
 	*/
 	readonly ran: Ran;
 };
--- a/outcome/state/test/outcome.test.ts
+++ b/outcome/state/test/outcome.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'tap';
 import {
 	advanceOutcome,
-	firstOutcome,
+	initialOutcome,
 	isFinal,
 	type Outcome,
 	type OutcomeEvent,
@@ -10,43 +10,43 @@
 
 const events: readonly OutcomeEvent[] = ['queue', 'grant', 'send', 'first-answer', 'not-run', 'reject', 'retry', 'finish', 'give-up'];
 
-function advanceAll(steps: readonly OutcomeEvent[]): Outcome {
-	let outcome = firstOutcome;
-	for (const step of steps) {
-		outcome = advanceOutcome(outcome, step);
+function applyEvents(history: readonly OutcomeEvent[]): Outcome {
+	let outcome = initialOutcome;
+	for (const event of history) {
+		outcome = advanceOutcome(outcome, event);
 	}
 
 	return outcome;
 }
 
 const table: ReadonlyArray<readonly [string, readonly OutcomeEvent[], Outcome]> = [
-	['refused before it waited', ['give-up'], {state: 'refused', ran: 'no'}],
-	['refused while it waited', ['queue', 'give-up'], {state: 'refused', ran: 'no'}],
+	['refused before queueing', ['give-up'], {state: 'refused', ran: 'no'}],
+	['refused while queued', ['queue', 'give-up'], {state: 'refused', ran: 'no'}],
 	['claim failed', ['queue', 'grant', 'give-up'], {state: 'refused', ran: 'no'}],
-	['endpoint unreachable, then given up', ['queue', 'grant', 'send', 'not-run', 'give-up'], {state: 'refused', ran: 'no'}],
-	['endpoint found fault', ['queue', 'grant', 'send', 'reject'], {state: 'refused', ran: 'no'}],
+	['endpoint unreachable, no retry', ['queue', 'grant', 'send', 'not-run', 'give-up'], {state: 'refused', ran: 'no'}],
+	['rejected by the endpoint', ['queue', 'grant', 'send', 'reject'], {state: 'refused', ran: 'no'}],
 	['connection lost after sending', ['queue', 'grant', 'send', 'give-up'], {state: 'failed', ran: 'maybe'}],
-	['lost, then no slot for another try', ['queue', 'grant', 'send', 'retry', 'give-up'], {state: 'failed', ran: 'maybe'}],
-	['lost, then unreachable elsewhere', ['queue', 'grant', 'send', 'retry', 'grant', 'send', 'not-run', 'give-up'], {state: 'failed', ran: 'maybe'}],
-	['broke off mid-answer', ['queue', 'grant', 'send', 'first-answer', 'give-up'], {state: 'failed', ran: 'yes'}],
-	['broke off mid-answer, no slot to resume', ['queue', 'grant', 'send', 'first-answer', 'retry', 'give-up'], {state: 'failed', ran: 'yes'}],
-	['resumed elsewhere', ['queue', 'grant', 'send', 'first-answer', 'retry', 'grant', 'send', 'first-answer', 'finish'], {state: 'complete', ran: 'yes'}],
+	['connection lost, no slot for a retry', ['queue', 'grant', 'send', 'retry', 'give-up'], {state: 'failed', ran: 'maybe'}],
+	['connection lost, next endpoint unreachable', ['queue', 'grant', 'send', 'retry', 'grant', 'send', 'not-run', 'give-up'], {state: 'failed', ran: 'maybe'}],
+	['interrupted during the answer', ['queue', 'grant', 'send', 'first-answer', 'give-up'], {state: 'failed', ran: 'yes'}],
+	['interrupted during the answer, no slot to resume', ['queue', 'grant', 'send', 'first-answer', 'retry', 'give-up'], {state: 'failed', ran: 'yes'}],
+	['resumed at another endpoint', ['queue', 'grant', 'send', 'first-answer', 'retry', 'grant', 'send', 'first-answer', 'finish'], {state: 'complete', ran: 'yes'}],
 ];
 
-for (const [name, steps, expected] of table) {
-	test(`the words for "${name}" are "${expected.state}, ran: ${expected.ran}"`, t => {
-		t.same(advanceAll(steps), expected);
+for (const [name, history, expected] of table) {
+	test(`the outcome of "${name}" is "${expected.state}, ran: ${expected.ran}"`, t => {
+		t.same(applyEvents(history), expected);
 		t.end();
 	});
 }
 
-test('"not run" is never said once an attempt may have run', t => {
-	fc.assert(fc.property(fc.array(fc.constantFrom(...events), {maxLength: 20}), steps => {
-		let outcome = firstOutcome;
+test('a request that may have run never becomes refused or "not run"', t => {
+	fc.assert(fc.property(fc.array(fc.constantFrom(...events), {maxLength: 20}), history => {
+		let outcome = initialOutcome;
 		let wasMaybe = false;
-		for (const step of steps) {
+		for (const event of history) {
 			try {
-				outcome = advanceOutcome(outcome, step);
+				outcome = advanceOutcome(outcome, event);
 			} catch {
 				continue;
 			}
@@ -63,9 +63,9 @@
 	t.end();
 });
 
-test('an ended request takes no further step', t => {
-	for (const steps of [['give-up'], ['queue', 'grant', 'send', 'first-answer', 'finish']] as const) {
-		const outcome = advanceAll(steps);
+test('a final state allows no further event', t => {
+	for (const history of [['give-up'], ['queue', 'grant', 'send', 'first-answer', 'finish']] as const) {
+		const outcome = applyEvents(history);
 		t.ok(isFinal(outcome.state));
 		for (const event of events) {
 			t.throws(() => advanceOutcome(outcome, event), {code: 'ERR_VALVESADDLE_INTERNAL'});
