--- a/outcome/answers/src/answer-store-options.ts
+++ b/outcome/answers/src/answer-store-options.ts
@@ -5,9 +5,9 @@
 	/**
 	Time for which an ended answer is kept, in milliseconds.
 	*/
-	readonly keepMs: number;
+	readonly retentionMs: number;
 	/**
-	Most characters kept in ended answers; the oldest go first.
+	Maximum number of characters kept in ended answers; the oldest are removed first.
 	*/
-	readonly keepSize: number;
+	readonly maximumCharacters: number;
 };
--- a/outcome/claims/src/claim-client-options.ts
+++ b/outcome/claims/src/claim-client-options.ts
@@ -13,11 +13,11 @@
 	readonly network: PeerNetwork;
 	readonly membership: Membership;
 	/**
-	Number of shards; the same on every node and for good.
+	Number of shards; must be the same on every node and never change.
 	*/
 	readonly shards: number;
 	readonly windowMs: number;
-	readonly writePauseMs: number;
+	readonly writeIntervalMs: number;
 	readonly metrics: Metrics;
 	readonly logger: Logger;
 };
--- a/outcome/claims/src/claim-client.ts
+++ b/outcome/claims/src/claim-client.ts
@@ -1,21 +1,21 @@
 import type {ResultAsync} from 'neverthrow';
 import type {ValvesaddleError} from '@valvesaddle/error';
-import type {ClaimAnswer} from './claim-answer.ts';
-import type {ClaimQuestion} from './claim-question.ts';
+import type {ClaimResponse} from './claim-response.ts';
+import type {ClaimRequest} from './claim-request.ts';
 
 /**
-Asks the writer of the right shard, wherever it is. Errors: `ERR_VALVESADDLE_CLAIMS_UNAVAILABLE`.
+Sends requests to the writer of the right shard, on this node or a peer. Errors: `ERR_VALVESADDLE_CLAIMS_UNAVAILABLE`.
 */
 export type ClaimClient = {
-	readonly claim: (question: ClaimQuestion) => ResultAsync<ClaimAnswer, ValvesaddleError>;
-	readonly release: (question: ClaimQuestion) => ResultAsync<ClaimAnswer, ValvesaddleError>;
-	readonly find: (question: ClaimQuestion) => ResultAsync<ClaimAnswer, ValvesaddleError>;
+	readonly claim: (request: ClaimRequest) => ResultAsync<ClaimResponse, ValvesaddleError>;
+	readonly release: (request: ClaimRequest) => ResultAsync<ClaimResponse, ValvesaddleError>;
+	readonly find: (request: ClaimRequest) => ResultAsync<ClaimResponse, ValvesaddleError>;
 	/**
-	Answers a peer's question with the shard writer on this node.
+	Handles a peer's request with the shard writer of this node.
 	*/
-	readonly serve: (method: keyof ClaimMethods, question: ClaimQuestion) => Promise<ClaimAnswer>;
+	readonly serve: (method: keyof ClaimMethods, request: ClaimRequest) => Promise<ClaimResponse>;
 	/**
-	Claims in memory on this node.
+	Number of claims in memory on this node.
 	*/
 	readonly size: () => number;
 };
--- a/outcome/claims/src/claim-decision.ts
+++ b/outcome/claims/src/claim-decision.ts
@@ -1,14 +1,14 @@
-import type {ClaimAnswer} from './claim-answer.ts';
+import type {ClaimResponse} from './claim-response.ts';
 import type {ClaimEntry} from './claim-entry.ts';
 import type {PendingClaim} from './pending-claim.ts';
 
 /**
-What a batch of claims comes to.
+Decision on a batch of claims and releases.
 */
 export type ClaimDecision = {
-	readonly answers: ReadonlyMap<PendingClaim, ClaimAnswer>;
+	readonly responses: ReadonlyMap<PendingClaim, ClaimResponse>;
 	/**
-	Entries to write so that the answers hold.
+	Entries to write before the responses are sent.
 	*/
 	readonly entries: readonly ClaimEntry[];
 };
--- a/outcome/execution/src/run-engine-attempt.ts
+++ b/outcome/execution/src/run-engine-attempt.ts
@@ -3,41 +3,41 @@
 import type {EngineClient} from '@valvesaddle/engine';
 import {ValvesaddleError} from '@valvesaddle/error';
 import type {Attempt} from './attempt.ts';
-import {createSilenceWatch} from './create-silence-watch.ts';
+import {createStallDetector} from './create-stall-detector.ts';
 import type {EngineWork} from './engine-work.ts';
-import {getSilenceLimits} from './get-silence-limits.ts';
-import type {SilenceWatch} from './silence-watch.ts';
+import {getStallTimeouts} from './get-stall-timeouts.ts';
+import type {StallDetector} from './stall-detector.ts';
 
 /**
-Clients that an attempt at an engine uses.
+Clients for an attempt at an engine.
 */
-type EngineTools = {
+type EngineClients = {
 	readonly engines: EngineClient;
 	readonly dispatch: DispatchClient;
 };
 
 /**
- Streams a completion from an engine into the log, from where earlier attempts ended.
+ Streams a completion from an engine into the log, continuing where earlier attempts ended.
 
- @throws `ValvesaddleError` that says whether the engine may have run the request.
+ @throws `ValvesaddleError` whose traits tell whether the engine may have run the request.
  @example
  const end = await runEngineAttempt(attempt, work, {engines, dispatch});
  */
-export async function runEngineAttempt(attempt: Attempt, work: EngineWork, {engines, dispatch}: EngineTools): Promise<AnswerEnd> {
-	const watch = createSilenceWatch({limits: getSilenceLimits(attempt.job), signal: attempt.signal, mayCut: attempt.mayRetry});
+export async function runEngineAttempt(attempt: Attempt, work: EngineWork, {engines, dispatch}: EngineClients): Promise<AnswerEnd> {
+	const detector = createStallDetector({timeouts: getStallTimeouts(attempt.job), signal: attempt.signal, mayAbort: attempt.mayRetry});
 	try {
-		return await readStream(attempt, watch, work, {engines, dispatch});
+		return await readStream(attempt, detector, work, {engines, dispatch});
 	} catch (error) {
-		throw watch.isCut() ? new ValvesaddleError('ERR_VALVESADDLE_ENDPOINT_FAILED', 'the engine was silent for too long', {cause: error}) : error;
+		throw detector.isStalled() ? new ValvesaddleError('ERR_VALVESADDLE_ENDPOINT_FAILED', 'the engine sent no token before the stall timeout', {cause: error}) : error;
 	} finally {
-		watch.close();
+		detector.close();
 	}
 }
 
-async function readStream(attempt: Attempt, watch: SilenceWatch, work: EngineWork, {engines, dispatch}: EngineTools): Promise<AnswerEnd> {
+async function readStream(attempt: Attempt, detector: StallDetector, work: EngineWork, {engines, dispatch}: EngineClients): Promise<AnswerEnd> {
 	const {job, grant, log, progress} = attempt;
 	const startedAt = Date.now();
-	const before = progress.tokens;
+	const tokensBefore = progress.tokens;
 	let firstTokenMs: number | undefined;
 	let finishReason = 'stop';
 	const stream = engines.stream({
@@ -47,7 +47,7 @@
 		textSoFar: progress.text,
 		tokensSoFar: progress.tokens,
 		trace: attempt.hop.carrier,
-	}, watch.signal);
+	}, detector.signal);
 	for await (const event of stream) {
 		if (event.kind === 'finish') {
 			finishReason = event.reason;
@@ -58,15 +58,15 @@
 			firstTokenMs = Date.now() - startedAt;
 			progress.firstTokenAt ??= Date.now();
 			attempt.hop.addEvent('first-token');
-			attempt.onFirst();
+			attempt.onFirstAnswer();
 		}
 
-		watch.recordToken();
+		detector.recordToken();
 		progress.text += event.text;
 		progress.tokens++;
 		progress.isPlainText &&= isPlainText(event.delta);
 		log.append(JSON.stringify(event.delta));
-		dispatch.progress(grant.grantId, progress.tokens - before, firstTokenMs);
+		dispatch.progress(grant.grantId, progress.tokens - tokensBefore, firstTokenMs);
 	}
 
 	return {kind: 'complete', finishReason, tokens: progress.tokens};
--- a/outcome/execution/src/run-service-attempt.ts
+++ b/outcome/execution/src/run-service-attempt.ts
@@ -4,9 +4,9 @@
 import type {ServiceWork} from './service-work.ts';
 
 /**
- Calls a plain service once.
+ Calls a plain service.
 
- @throws `ValvesaddleError` that says whether the service may have run the request.
+ @throws `ValvesaddleError` whose traits tell whether the service may have run the request.
  @example
  const end = await runServiceAttempt(attempt, work, services);
  */
@@ -22,6 +22,6 @@
 		trace: attempt.hop.carrier,
 	}, attempt.signal);
 	progress.firstTokenAt ??= Date.now();
-	attempt.onFirst();
+	attempt.onFirstAnswer();
 	return {kind: 'reply', reply};
 }
--- a/outcome/state/src/first-outcome.ts
+++ /dev/null
@@ -1,6 +0,0 @@
-import type {Outcome} from './outcome.ts';
-
-/**
-Outcome of a request that was just accepted.
-*/
-export const firstOutcome: Outcome = {state: 'accepted', ran: 'no'};
