--- a/dispatch/alone/src/create-alone-client.ts
+++ b/dispatch/alone/src/create-uncoordinated-client.ts
@@ -2,7 +2,7 @@
 import type {DispatchClient} from '@valvesaddle/client';
 import {ValvesaddleError} from '@valvesaddle/error';
 import type {Endpoint} from '@valvesaddle/types';
-import type {AloneClientOptions} from './alone-client-options.ts';
+import type {UncoordinatedClientOptions} from './uncoordinated-client-options.ts';
 
 const choices = 2;
 
@@ -13,7 +13,7 @@
  @example
  const client = createAloneClient({configuration, readLoad, loadPollMs: 1500});
  */
-export function createAloneClient(options: AloneClientOptions): DispatchClient {
+export function createUncoordinatedClient(options: UncoordinatedClientOptions): DispatchClient {
 	const reported = new Map<string, number>();
 	const sentSince = new Map<string, number>();
 	const grants = new Map<string, string>();
--- a/dispatch/alone/src/index.ts
+++ b/dispatch/alone/src/index.ts
@@ -1,2 +1,2 @@
-export type {AloneClientOptions} from './alone-client-options.ts';
-export {createAloneClient} from './create-alone-client.ts';
+export type {UncoordinatedClientOptions} from './uncoordinated-client-options.ts';
+export {createUncoordinatedClient} from './create-uncoordinated-client.ts';
--- a/dispatch/alone/src/alone-client-options.ts
+++ b/dispatch/alone/src/uncoordinated-client-options.ts
@@ -4,7 +4,7 @@
 /**
 Options of `createAloneClient`.
 */
-export type AloneClientOptions = {
+export type UncoordinatedClientOptions = {
 	readonly configuration: () => Configuration;
 	readonly readLoad: (endpoint: Endpoint) => Promise<LoadReport | undefined>;
 	readonly loadPollMs: number;
--- a/dispatch/client/src/create-dispatch-client.ts
+++ b/dispatch/client/src/create-dispatch-client.ts
@@ -12,7 +12,7 @@
 	Grant,
 	ProgressReport,
 } from '@valvesaddle/messages';
-import type {AcquireAsk} from './acquire-ask.ts';
+import type {AcquireParameters} from './acquire-parameters.ts';
 import type {DispatchClient} from './dispatch-client.ts';
 import type {DispatchClientOptions} from './dispatch-client-options.ts';
 import type {HeldGrant} from './held-grant.ts';
@@ -111,7 +111,7 @@
 	/**
 	Asks the dispatcher of a duty, wherever it is, until it grants or refuses.
 	*/
-	async function askDuty(duty: string, asked: AcquireAsk, signal: AbortSignal): Promise<SettledReply> {
+	async function askDuty(duty: string, asked: AcquireParameters, signal: AbortSignal): Promise<SettledReply> {
 		const {arrivedAt, resumes, pool: _pool, ...rest} = asked;
 		const skipped: string[] = [];
 		let redirects = 0;
@@ -149,7 +149,7 @@
 		}
 	}
 
-	async function acquire(asked: AcquireAsk, signal: AbortSignal): Promise<Result<Grant, ValvesaddleError>> {
+	async function acquire(asked: AcquireParameters, signal: AbortSignal): Promise<Result<Grant, ValvesaddleError>> {
 		const duties = host.duties();
 		const duty = duties.chooseDuty(asked.pool, asked.session ?? asked.requestId);
 		const reply = await askDuty(duty, asked, signal);
@@ -170,7 +170,7 @@
 		}
 	}
 
-	function settle(reply: SettledReply, asked: AcquireAsk): Result<Grant, ValvesaddleError> {
+	function settle(reply: SettledReply, asked: AcquireParameters): Result<Grant, ValvesaddleError> {
 		if (reply.kind === 'refused') {
 			return err(new ValvesaddleError(reply.code, reply.message, {retryAfterMs: reply.retryAfterMs}));
 		}
@@ -183,7 +183,7 @@
 			pool: asked.pool,
 			tokens: 0,
 			firstTokenMs: undefined,
-			isReported: false,
+			isFirstTokenReported: false,
 		});
 		return ok(reply.grant);
 	}
@@ -206,9 +206,9 @@
 	What is new of a grant; the time of its first token is told once.
 	*/
 	function toReport(grant: HeldGrant): ProgressReport {
-		const {open: {grantId}, tokens, firstTokenMs, isReported} = grant;
+		const {open: {grantId}, tokens, firstTokenMs, isFirstTokenReported: isReported} = grant;
 		held.delete(grantId);
-		held.set(grantId, {...grant, isReported: firstTokenMs !== undefined});
+		held.set(grantId, {...grant, isFirstTokenReported: firstTokenMs !== undefined});
 		return {grantId, tokens, firstTokenMs: isReported ? undefined : firstTokenMs};
 	}
 
--- a/dispatch/client/src/dispatch-client.ts
+++ b/dispatch/client/src/dispatch-client.ts
@@ -1,7 +1,7 @@
 import type {ResultAsync} from 'neverthrow';
 import type {ValvesaddleError} from '@valvesaddle/error';
 import type {Grant, ReleaseReport} from '@valvesaddle/messages';
-import type {AcquireAsk} from './acquire-ask.ts';
+import type {AcquireParameters} from './acquire-parameters.ts';
 
 /**
 Gets grants for the requests of a node and gives them back.
@@ -10,7 +10,7 @@
 	/**
 	Waits for a grant; an abort takes the request back.
 	*/
-	readonly acquire: (ask: AcquireAsk, signal: AbortSignal) => ResultAsync<Grant, ValvesaddleError>;
+	readonly acquire: (ask: AcquireParameters, signal: AbortSignal) => ResultAsync<Grant, ValvesaddleError>;
 	/**
 	Notes tokens that came under a grant; sent on in batches.
 	*/
--- a/dispatch/client/src/held-grant.ts
+++ b/dispatch/client/src/held-grant.ts
@@ -11,5 +11,5 @@
 	/**
 	Whether the time of the first token was reported.
 	*/
-	readonly isReported: boolean;
+	readonly isFirstTokenReported: boolean;
 };
--- a/dispatch/client/src/index.ts
+++ b/dispatch/client/src/index.ts
@@ -1,4 +1,4 @@
-export type {AcquireAsk} from './acquire-ask.ts';
+export type {AcquireParameters} from './acquire-parameters.ts';
 export {createDispatchClient} from './create-dispatch-client.ts';
 export type {DispatchClient} from './dispatch-client.ts';
 export type {DispatchClientOptions} from './dispatch-client-options.ts';
--- a/dispatch/client/test/dispatch-client.test.ts
+++ b/dispatch/client/test/dispatch-client.test.ts
@@ -15,7 +15,7 @@
 import type {PeerEvents, PeerNetwork} from '@valvesaddle/network';
 import {createDutyIndex} from '@valvesaddle/ownership';
 import type {Configuration} from '@valvesaddle/types';
-import {createDispatchClient, type AcquireAsk, type DispatchClient} from '@valvesaddle/client';
+import {createDispatchClient, type AcquireParameters, type DispatchClient} from '@valvesaddle/client';
 
 const unreachable = new ValvesaddleError('ERR_VALVESADDLE_PEER_UNREACHABLE', 'gone');
 const granted: AcquireReply = {kind: 'granted', grant: {grantId: 'g1', endpointId: 'e1', url: 'http://e1'}};
@@ -114,7 +114,7 @@
 	};
 }
 
-function createAsk(requestId: string): AcquireAsk {
+function createAsk(requestId: string): AcquireParameters {
 	return {
 		requestId, pool: 'drafting', account: 'sawmill', className: 'gate', arrivedAt: Date.now(), resumes: false, promptTokens: 1, tokensSoFar: 0, session: undefined, repeatable: true, avoid: [], trace: {},
 	};
--- a/dispatch/policy/src/choose-endpoint.ts
+++ b/dispatch/policy/src/choose-endpoint.ts
@@ -1,4 +1,4 @@
-import type {EndpointNeed} from './endpoint-need.ts';
+import type {EndpointRequirements} from './endpoint-requirements.ts';
 import type {EndpointView} from './endpoint-view.ts';
 import {estimateFirstToken} from './estimate-first-token.ts';
 import {hasSlot} from './has-slot.ts';
@@ -11,7 +11,7 @@
  @example
  chooseEndpoint(endpoints, need)?.id; // 'engine-3'
  */
-export function chooseEndpoint(candidates: Iterable<EndpointView>, need: EndpointNeed): EndpointView | undefined {
+export function chooseEndpoint(candidates: Iterable<EndpointView>, need: EndpointRequirements): EndpointView | undefined {
 	let best: EndpointView | undefined;
 	let bestMs = Infinity;
 	for (const endpoint of candidates) {
--- a/dispatch/policy/src/endpoint-need.ts
+++ b/dispatch/policy/src/endpoint-requirements.ts
@@ -3,7 +3,7 @@
 /**
 What a request needs of an endpoint.
 */
-export type EndpointNeed = {
+export type EndpointRequirements = {
 	readonly mode: GrantMode;
 	/**
 	Floor of the class; used in mode `floor`.
--- a/dispatch/policy/src/estimate-first-token.ts
+++ b/dispatch/policy/src/estimate-first-token.ts
@@ -1,4 +1,4 @@
-import type {EndpointNeed} from './endpoint-need.ts';
+import type {EndpointRequirements} from './endpoint-requirements.ts';
 import type {EndpointView} from './endpoint-view.ts';
 
 const defaultFirstTokenMs = 200;
@@ -20,7 +20,7 @@
  @example
  estimateFirstToken(endpoint, need); // 214.5
  */
-export function estimateFirstToken(endpoint: EndpointView, need: EndpointNeed): number {
+export function estimateFirstToken(endpoint: EndpointView, need: EndpointRequirements): number {
 	const load = (endpoint.inFlight + endpoint.external) / endpoint.limit;
 	const base = endpoint.firstTokenMs ?? defaultFirstTokenMs;
 	const step = endpoint.interTokenMs ?? defaultInterTokenMs;
--- a/dispatch/policy/src/find-stragglers.ts
+++ b/dispatch/policy/src/find-outliers.ts
@@ -18,7 +18,7 @@
  @example
  findStragglers(endpoints); // ['engine-7']
  */
-export function findStragglers(endpoints: readonly EndpointView[]): readonly string[] {
+export function findOutliers(endpoints: readonly EndpointView[]): readonly string[] {
 	const inUse = endpoints.filter(({state}) => state !== 'leaving');
 	const ejected = inUse.filter(({state}) => state === 'ejected').length;
 	const room = Math.floor(inUse.length * largestEjectedPart) - ejected;
--- a/dispatch/policy/src/has-slot.ts
+++ b/dispatch/policy/src/has-slot.ts
@@ -1,4 +1,4 @@
-import type {EndpointNeed} from './endpoint-need.ts';
+import type {EndpointRequirements} from './endpoint-requirements.ts';
 import type {EndpointState} from './endpoint-state.ts';
 import type {EndpointView} from './endpoint-view.ts';
 import type {GrantMode} from './grant-mode.ts';
@@ -10,7 +10,7 @@
 
 const closedStates: ReadonlySet<EndpointState> = new Set(['leaving', 'ejected', 'cooling']);
 
-type SlotRule = (endpoint: EndpointView, need: EndpointNeed) => boolean;
+type SlotRule = (endpoint: EndpointView, need: EndpointRequirements) => boolean;
 
 const slotRules: Readonly<Record<GrantMode, SlotRule>> = {
 	urgent: endpoint => endpoint.urgentInFlight < endpoint.limit,
@@ -24,7 +24,7 @@
  @example
  hasSlot({...endpoint, limit: 4, inFlight: 4, urgentInFlight: 0}, {...need, mode: 'urgent'}); // true
  */
-export function hasSlot(endpoint: EndpointView, need: EndpointNeed): boolean {
+export function hasSlot(endpoint: EndpointView, need: EndpointRequirements): boolean {
 	if (closedStates.has(endpoint.state)) {
 		return false;
 	}
--- a/dispatch/policy/src/predict-wait.ts
+++ b/dispatch/policy/src/predict-wait.ts
@@ -1,4 +1,4 @@
-import type {WaitQuestion} from './wait-question.ts';
+import type {WaitInput} from './wait-input.ts';
 import type {WaitView} from './wait-view.ts';
 
 /**
@@ -14,7 +14,7 @@
  @example
  predictWait(question, views); // 1800
  */
-export function predictWait(question: WaitQuestion, views: readonly WaitView[]): number {
+export function predictWait(question: WaitInput, views: readonly WaitView[]): number {
 	const own = views.find(view => view.requestClass.name === question.requestClass.name);
 	if (own === undefined || question.slots <= 0) {
 		return Infinity;
@@ -27,7 +27,7 @@
 	return question.requestClass.urgent ? predictUrgentWait(question, views) : predictSharedWait(question, own, views);
 }
 
-function predictUrgentWait({requestClass, slots}: WaitQuestion, views: readonly WaitView[]): number {
+function predictUrgentWait({requestClass, slots}: WaitInput, views: readonly WaitView[]): number {
 	let workMs = 0;
 	for (const view of views) {
 		if (view.requestClass.urgent && view.requestClass.priority <= requestClass.priority) {
@@ -38,7 +38,7 @@
 	return workMs / slots;
 }
 
-function predictSharedWait(question: WaitQuestion, own: WaitView, views: readonly WaitView[]): number {
+function predictSharedWait(question: WaitInput, own: WaitView, views: readonly WaitView[]): number {
 	let urgentWorkMs = 0;
 	let weights = 0;
 	for (const view of views) {
--- a/dispatch/policy/src/rank-classes.ts
+++ b/dispatch/policy/src/rank-classes.ts
@@ -1,5 +1,5 @@
 import type {ClassView} from './class-view.ts';
-import type {Turn} from './turn.ts';
+import type {RankedClass} from './ranked-class.ts';
 
 const wholeGrant = 1;
 
@@ -11,7 +11,7 @@
  @example
  rankClasses(views)[0]; // {className: 'barrier', mode: 'urgent'}
  */
-export function rankClasses(views: readonly ClassView[]): readonly Turn[] {
+export function rankClasses(views: readonly ClassView[]): readonly RankedClass[] {
 	const waiting = views.filter(view => view.waiting > 0);
 	const due = waiting
 		.filter(view => view.floorCredit >= wholeGrant)
@@ -28,6 +28,6 @@
 	return [...due, ...urgent, ...shared];
 }
 
-function toTurn(view: ClassView, mode: Turn['mode']): Turn {
+function toTurn(view: ClassView, mode: RankedClass['mode']): RankedClass {
 	return {className: view.requestClass.name, mode};
 }
--- a/dispatch/policy/src/wait-question.ts
+++ b/dispatch/policy/src/wait-input.ts
@@ -3,7 +3,7 @@
 /**
 A request that asks how long it would wait.
 */
-export type WaitQuestion = {
+export type WaitInput = {
 	readonly requestClass: RequestClass;
 	/**
 	Requests of the same client account and class that wait already.
--- a/dispatch/policy/test/policy.test.ts
+++ b/dispatch/policy/test/policy.test.ts
@@ -6,7 +6,7 @@
 	chooseEndpoint,
 	addToBudget,
 	ejectEndpoint,
-	findStragglers,
+	findOutliers,
 	hasSlot,
 	rankClasses,
 	predictWait,
@@ -14,7 +14,7 @@
 	measureHeadroom,
 	takeFromBudget,
 	type ClassView,
-	type EndpointNeed,
+	type EndpointRequirements,
 	type EndpointView,
 } from '@valvesaddle/policy';
 
@@ -25,7 +25,7 @@
 	id: 'e1', url: 'http://127.0.0.1:1', dataCentre: 'dc-1', state: 'live', limit: 8, inFlight: 0, urgentInFlight: 0, external: 0,
 	firstTokenMs: undefined, interTokenMs: undefined, limitChangedAt: 0, ejectedUntil: 0, cooldownUntil: 0, ejections: 0, failures: 0,
 };
-const baseNeed: EndpointNeed = {
+const baseNeed: EndpointRequirements = {
 	mode: 'shared', floor: 0.05, headroom: 0, promptTokens: 100, dataCentre: 'dc-1', sessionEndpoint: undefined, avoid: [], mayProbe: true,
 };
 const classView = fc.record({
@@ -197,12 +197,12 @@
 		const named = endpoints.map((endpoint, index) => ({...endpoint, id: `e${index}`}));
 		const inUse = named.filter(({state}) => state !== 'leaving');
 		const ejected = inUse.filter(({state}) => state === 'ejected').length;
-		const found = findStragglers(named);
+		const found = findOutliers(named);
 		return found.length === 0 || ejected + found.length <= inUse.length * 0.3;
 	}));
 	const peers = Array.from({length: 9}, (_, index) => ({...baseEndpoint, id: `e${index}`, interTokenMs: 20}));
-	t.same(findStragglers([...peers, {...baseEndpoint, id: 'slow', interTokenMs: 200}]), ['slow']);
-	t.same(findStragglers([...peers, {...baseEndpoint, id: 'failing', failures: 3}]), ['failing']);
+	t.same(findOutliers([...peers, {...baseEndpoint, id: 'slow', interTokenMs: 200}]), ['slow']);
+	t.same(findOutliers([...peers, {...baseEndpoint, id: 'failing', failures: 3}]), ['failing']);
 	t.end();
 });
 
--- a/dispatch/pool/src/count-free-slots.ts
+++ b/dispatch/pool/src/count-free-slots.ts
@@ -1,4 +1,4 @@
-import {hasSlot, type EndpointNeed, type EndpointView} from '@valvesaddle/policy';
+import {hasSlot, type EndpointRequirements, type EndpointView} from '@valvesaddle/policy';
 
 /**
  Counts the slots that requests of this need could take now.
@@ -6,7 +6,7 @@
  @example
  countFreeSlots(endpoints, need); // 12
  */
-export function countFreeSlots(views: Iterable<EndpointView>, need: EndpointNeed): number {
+export function countFreeSlots(views: Iterable<EndpointView>, need: EndpointRequirements): number {
 	let free = 0;
 	for (const view of views) {
 		if (!hasSlot(view, need)) {
--- a/dispatch/pool/src/create-endpoint-table.ts
+++ b/dispatch/pool/src/create-endpoint-table.ts
@@ -2,7 +2,7 @@
 import {
 	adjustLimit,
 	ejectEndpoint,
-	findStragglers,
+	findOutliers,
 	updateAverage,
 	type EndpointView,
 } from '@valvesaddle/policy';
@@ -95,7 +95,7 @@
 	}
 
 	function ejectStragglers(now: number): void {
-		for (const id of findStragglers(getViews())) {
+		for (const id of findOutliers(getViews())) {
 			update(id, view => ejectEndpoint({...view, interTokenMs: undefined, failures: 0}, now));
 		}
 	}
@@ -123,7 +123,7 @@
 				markLeaving(endpoint);
 			}
 		},
-		count(endpointId, by, isUrgent) {
+		updateInFlight(endpointId, by, isUrgent) {
 			update(endpointId, view => ({
 				...view,
 				inFlight: Math.max(0, view.inFlight + by),
--- a/dispatch/pool/src/create-grant-table.ts
+++ b/dispatch/pool/src/create-grant-table.ts
@@ -29,7 +29,7 @@
 			byRequest.delete(entry.requestId);
 		}
 
-		endpoints.count(entry.endpointId, -1, entry.isUrgent);
+		endpoints.updateInFlight(entry.endpointId, -1, entry.isUrgent);
 		return entry;
 	}
 
@@ -42,7 +42,7 @@
 		add(entry) {
 			grants.set(entry.grantId, entry);
 			byRequest.set(entry.requestId, entry.grantId);
-			endpoints.count(entry.endpointId, 1, entry.isUrgent);
+			endpoints.updateInFlight(entry.endpointId, 1, entry.isUrgent);
 		},
 		find: grantId => grants.get(grantId),
 		findByRequest: requestId => grants.get(byRequest.get(requestId) ?? ''),
--- a/dispatch/pool/src/create-pool-dispatcher.ts
+++ b/dispatch/pool/src/create-pool-dispatcher.ts
@@ -13,12 +13,12 @@
 	rankClasses,
 	predictWait,
 	measureHeadroom,
-	type EndpointNeed,
+	type EndpointRequirements,
 	type EndpointView,
 	type GrantMode,
-	type Turn,
+	type RankedClass,
 } from '@valvesaddle/policy';
-import {createWaitingQueue, type Queued} from '@valvesaddle/queue';
+import {createWaitingQueue, type QueuedRequest} from '@valvesaddle/queue';
 import type {Configuration, RequestClass} from '@valvesaddle/types';
 import {countFreeSlots} from './count-free-slots.ts';
 import {createClassStats} from './create-class-stats.ts';
@@ -30,7 +30,7 @@
 import type {PoolDispatcherOptions} from './pool-dispatcher-options.ts';
 import type {PoolEvents} from './pool-events.ts';
 import {toRefusal} from './to-refusal.ts';
-import type {Waiting} from './waiting.ts';
+import type {WaitingRequest} from './waiting-request.ts';
 
 const defaultInterTokenMs = 52;
 const epochLength = 8;
@@ -50,7 +50,7 @@
 export function createPoolDispatcher(options: PoolDispatcherOptions): PoolDispatcher {
 	const {metrics} = options;
 	const events = new Emittery<PoolEvents>();
-	const queue = createWaitingQueue<Waiting>();
+	const queue = createWaitingQueue<WaitingRequest>();
 	const stats = createClassStats();
 	const lengths = createLengthModel();
 	const sessions = createSessionTable();
@@ -80,7 +80,7 @@
 		grantWaiting();
 	}
 
-	function toNeed(mode: GrantMode, request: AcquireRequest): EndpointNeed {
+	function toNeed(mode: GrantMode, request: AcquireRequest): EndpointRequirements {
 		return {
 			mode,
 			floor: classes.get(request.className)?.floor ?? 0,
@@ -141,7 +141,7 @@
 		}
 	}
 
-	function didGrant(turn: Turn): boolean {
+	function didGrant(turn: RankedClass): boolean {
 		const isWarm = Date.now() - openedAt >= options.warmupMs;
 		if (!isWarm && turn.mode !== 'urgent') {
 			return false;
@@ -154,12 +154,12 @@
 		}
 
 		queue.remove(item.requestId);
-		queue.bookGrant(turn.className, turn.mode === 'floor');
+		queue.recordGrant(turn.className, turn.mode === 'floor');
 		grant(item, endpoint, turn.mode);
 		return true;
 	}
 
-	function grant({value: {request, settle}, arrivedAt}: Queued<Waiting>, endpoint: EndpointView, mode: GrantMode): void {
+	function grant({value: {request, settle}, arrivedAt}: QueuedRequest<WaitingRequest>, endpoint: EndpointView, mode: GrantMode): void {
 		const now = Date.now();
 		const grantId = `${epoch}-${(++grantCount).toString(36)}`;
 		const charged = lengths.expect(request.className, request.tokensSoFar) - request.tokensSoFar;
@@ -177,7 +177,7 @@
 			charged,
 		});
 		queue.charge(request.className, request.account, charged);
-		sessions.remember(request.session, endpoint.id);
+		sessions.record(request.session, endpoint.id);
 		metrics.increment('dispatch.granted', 1, {class: request.className, mode});
 		metrics.timing('dispatch.wait', now - arrivedAt, {class: request.className});
 		settle({kind: 'granted', grant: {grantId, endpointId: endpoint.id, url: endpoint.url}});
--- a/dispatch/pool/src/create-session-table.ts
+++ b/dispatch/pool/src/create-session-table.ts
@@ -21,7 +21,7 @@
 			const hint = session === undefined ? undefined : table.get(session);
 			return hint !== undefined && Date.now() - hint.at < hintLifeMs ? hint.endpointId : undefined;
 		},
-		remember(session, endpointId) {
+		record(session, endpointId) {
 			if (session === undefined) {
 				return;
 			}
--- a/dispatch/pool/src/create-slot-index.ts
+++ b/dispatch/pool/src/create-slot-index.ts
@@ -1,6 +1,6 @@
 import {
 	hasSlot,
-	type EndpointNeed,
+	type EndpointRequirements,
 	type EndpointView,
 	type GrantMode,
 } from '@valvesaddle/policy';
@@ -12,7 +12,7 @@
 */
 const largestFloor = 0.3;
 
-type Needs = Readonly<Record<GrantMode, EndpointNeed>>;
+type Needs = Readonly<Record<GrantMode, EndpointRequirements>>;
 
 /**
  Creates an empty index of slots.
@@ -68,7 +68,7 @@
 For each rule the need that most endpoints can meet.
 */
 function createNeeds(headroom: number): Needs {
-	const widest: Omit<EndpointNeed, 'mode'> = {
+	const widest: Omit<EndpointRequirements, 'mode'> = {
 		headroom, floor: largestFloor, promptTokens: 0, dataCentre: '', sessionEndpoint: undefined, avoid: [], mayProbe: true,
 	};
 	return {urgent: {...widest, mode: 'urgent'}, shared: {...widest, mode: 'shared'}, floor: {...widest, mode: 'floor'}};
--- a/dispatch/pool/src/endpoint-table.ts
+++ b/dispatch/pool/src/endpoint-table.ts
@@ -12,7 +12,7 @@
 	/**
 	Counts one grant more (`by` 1) or fewer (`by` -1).
 	*/
-	readonly count: (endpointId: string, by: 1 | -1, isUrgent: boolean) => void;
+	readonly updateInFlight: (endpointId: string, by: 1 | -1, isUrgent: boolean) => void;
 	/**
 	Takes over observed times and learns the limit from them.
 	*/
--- a/dispatch/pool/src/session-table.ts
+++ b/dispatch/pool/src/session-table.ts
@@ -3,5 +3,5 @@
 */
 export type SessionTable = {
 	readonly find: (session: string | undefined) => string | undefined;
-	readonly remember: (session: string | undefined, endpointId: string) => void;
+	readonly record: (session: string | undefined, endpointId: string) => void;
 };
--- a/dispatch/pool/src/waiting.ts
+++ b/dispatch/pool/src/waiting-request.ts
@@ -3,7 +3,7 @@
 /**
 A request that waits for its grant.
 */
-export type Waiting = {
+export type WaitingRequest = {
 	readonly request: AcquireRequest;
 	readonly settle: (reply: AcquireReply) => void;
 };
--- a/dispatch/queue/src/create-waiting-queue.ts
+++ b/dispatch/queue/src/create-waiting-queue.ts
@@ -2,7 +2,7 @@
 import {chooseAccount, type ClassView} from '@valvesaddle/policy';
 import type {AccountQueue} from './account-queue.ts';
 import type {ClassQueue} from './class-queue.ts';
-import type {Queued} from './queued.ts';
+import type {QueuedRequest} from './queued-request.ts';
 import type {WaitingQueue} from './waiting-queue.ts';
 
 /**
@@ -24,7 +24,7 @@
  */
 export function createWaitingQueue<Value>(): WaitingQueue<Value> {
 	const classes = new Map<string, ClassQueue<Value>>();
-	const byRequest = new Map<string, Queued<Value>>();
+	const byRequest = new Map<string, QueuedRequest<Value>>();
 	let weights: ReadonlyMap<string, number> = new Map();
 
 	function getClass(className: string): ClassQueue<Value> {
@@ -51,7 +51,7 @@
 		return created;
 	}
 
-	function take(item: Queued<Value>): void {
+	function take(item: QueuedRequest<Value>): void {
 		const classQueue = getClass(item.className);
 		const accountQueue = getAccount(classQueue, item.account);
 		const index = accountQueue.items.indexOf(item);
@@ -65,7 +65,7 @@
 		byRequest.delete(item.requestId);
 	}
 
-	function takeWhere(isWanted: (item: Queued<Value>) => boolean): ReadonlyArray<Queued<Value>> {
+	function takeWhere(isWanted: (item: QueuedRequest<Value>) => boolean): ReadonlyArray<QueuedRequest<Value>> {
 		const taken = byRequest.values().filter(item => isWanted(item)).toArray();
 		for (const item of taken) {
 			take(item);
@@ -125,7 +125,7 @@
 			classQueue.virtualTokens += tokens / classQueue.requestClass.weight;
 			accountQueue.virtualTokens += tokens / accountQueue.weight;
 		},
-		bookGrant(className, isFloor) {
+		recordGrant(className, isFloor) {
 			for (const [name, classQueue] of classes) {
 				if (name === className) {
 					classQueue.floorCredit = isFloor ? classQueue.floorCredit - 1 : Math.max(0, classQueue.floorCredit - 1);
@@ -191,7 +191,7 @@
 	return Number.isFinite(least) ? least : 0;
 }
 
-function addByArrival<Value>(items: Array<Queued<Value>>, item: Queued<Value>): void {
+function addByArrival<Value>(items: Array<QueuedRequest<Value>>, item: QueuedRequest<Value>): void {
 	let index = items.length;
 	while (index > 0 && (items[index - 1]?.arrivedAt ?? 0) > item.arrivedAt) {
 		index--;
--- a/dispatch/queue/src/index.ts
+++ b/dispatch/queue/src/index.ts
@@ -1,3 +1,3 @@
 export {createWaitingQueue} from './create-waiting-queue.ts';
-export type {Queued} from './queued.ts';
+export type {QueuedRequest} from './queued-request.ts';
 export type {WaitingQueue} from './waiting-queue.ts';
--- a/dispatch/queue/src/queued.ts
+++ b/dispatch/queue/src/queued-request.ts
@@ -1,7 +1,7 @@
 /**
 A request that waits, with what the queue needs to know of it.
 */
-export type Queued<Value> = {
+export type QueuedRequest<Value> = {
 	readonly requestId: string;
 	readonly className: string;
 	readonly account: string;
--- a/dispatch/queue/src/waiting-queue.ts
+++ b/dispatch/queue/src/waiting-queue.ts
@@ -1,6 +1,6 @@
 import type {RequestClass} from '@valvesaddle/types';
 import type {ClassView} from '@valvesaddle/policy';
-import type {Queued} from './queued.ts';
+import type {QueuedRequest} from './queued-request.ts';
 
 /**
 The requests that wait for one pool, fair over class and client account.
@@ -10,17 +10,17 @@
 	Takes over the classes and account weights of a configuration.
 	*/
 	readonly configure: (classes: readonly RequestClass[], accountWeights: ReadonlyMap<string, number>) => void;
-	readonly push: (item: Queued<Value>) => void;
+	readonly push: (item: QueuedRequest<Value>) => void;
 	/**
 	The request that goes next within a class; stays in the queue.
 	*/
-	readonly peek: (className: string) => Queued<Value> | undefined;
-	readonly remove: (requestId: string) => Queued<Value> | undefined;
+	readonly peek: (className: string) => QueuedRequest<Value> | undefined;
+	readonly remove: (requestId: string) => QueuedRequest<Value> | undefined;
 	/**
 	Takes out all requests that wait longer than their class allows.
 	*/
-	readonly takeExpired: (now: number) => ReadonlyArray<Queued<Value>>;
-	readonly takeWhere: (isWanted: (item: Queued<Value>) => boolean) => ReadonlyArray<Queued<Value>>;
+	readonly takeExpired: (now: number) => ReadonlyArray<QueuedRequest<Value>>;
+	readonly takeWhere: (isWanted: (item: QueuedRequest<Value>) => boolean) => ReadonlyArray<QueuedRequest<Value>>;
 	/**
 	Charges tokens to a class and account; negative to give back.
 	*/
@@ -28,7 +28,7 @@
 	/**
 	Books a grant under the floors: every other class that waits earns, a floor grant spends.
 	*/
-	readonly bookGrant: (className: string, isFloor: boolean) => void;
+	readonly recordGrant: (className: string, isFloor: boolean) => void;
 	readonly views: () => readonly ClassView[];
 	readonly waiting: (className: string) => number;
 	readonly accountWaiting: (className: string, account: string) => number;
--- a/dispatch/queue/test/waiting-queue.test.ts
+++ b/dispatch/queue/test/waiting-queue.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import {test} from 'tap';
 import type {RequestClass} from '@valvesaddle/types';
-import {createWaitingQueue, type Queued} from '@valvesaddle/queue';
+import {createWaitingQueue, type QueuedRequest} from '@valvesaddle/queue';
 
 const classes: readonly RequestClass[] = ['gate', 'route', 'estimate'].map((name, priority) => ({
 	name, priority, urgent: priority === 0, firstTokenTargetMs: 1000, maximumWaitMs: 1000 * (priority + 1), weight: 1, floor: 0,
@@ -13,7 +13,7 @@
 	return queue;
 }
 
-function createItem(requestId: string, part: Partial<Queued<string>> = {}): Queued<string> {
+function createItem(requestId: string, part: Partial<QueuedRequest<string>> = {}): QueuedRequest<string> {
 	return {
 		requestId, className: 'estimate', account: 'sawmill', arrivedAt: 0, value: requestId, ...part,
 	};
@@ -102,12 +102,12 @@
 	const queue = createQueue();
 	queue.push(createItem('estimate'));
 	for (let grant = 0; grant < 100; grant++) {
-		queue.bookGrant('gate', false);
+		queue.recordGrant('gate', false);
 	}
 
 	const getCredit = (): number => queue.views().find(view => view.requestClass.name === 'estimate')?.floorCredit ?? 0;
 	t.ok(getCredit() >= 0.99 && getCredit() <= 1.01);
-	queue.bookGrant('estimate', true);
+	queue.recordGrant('estimate', true);
 	t.ok(getCredit() < 0.01);
 	t.end();
 });
--- a/node/router/src/create-router.ts
+++ b/node/router/src/create-router.ts
@@ -2,7 +2,7 @@
 import {createAnswerStore} from '@valvesaddle/answers';
 import {createCallerApi} from '@valvesaddle/caller-api';
 import {createClaimClient} from '@valvesaddle/claims';
-import {createAloneClient} from '@valvesaddle/alone';
+import {createUncoordinatedClient} from '@valvesaddle/alone';
 import {createDispatchClient} from '@valvesaddle/client';
 import {createConfigFollower} from '@valvesaddle/config-follower';
 import {createConfigStore} from '@valvesaddle/config-store';
@@ -95,7 +95,7 @@
 		pool: () => createDispatchClient({
 			node, dataCentre, host, network, membership, progressMs: settings.dispatch.progress_ms, metrics, logger,
 		}),
-		alone: () => createAloneClient({
+		alone: () => createUncoordinatedClient({
 			configuration: follower.configuration, readLoad, loadPollMs: settings.dispatch.load_poll_ms,
 		}),
 	};
