--- a/dispatch/policy/src/account-view.ts
+++ b/dispatch/policy/src/account-view.ts
@@ -1,5 +1,5 @@
 /**
-What fairness needs to know of one client account within a class.
+State of a client account within a class, as the fair scheduler uses it.
 */
 export type AccountView = {
 	readonly account: string;
--- a/dispatch/policy/src/add-to-budget.ts
+++ b/dispatch/policy/src/add-to-budget.ts
@@ -1,14 +1,14 @@
 import type {Budget} from './budget.ts';
 
-const earnedPerRequest = 0.1;
-const largestBalance = 20;
+const creditPerRequest = 0.1;
+const maximumBalance = 20;
 
 /**
- Credits one first try to a retry budget.
+ Credits one first attempt to a retry budget.
 
  @example
  addToBudget({balance: 1}).balance; // 1.1
  */
 export function addToBudget(budget: Budget): Budget {
-	return {balance: Math.min(largestBalance, budget.balance + earnedPerRequest)};
+	return {balance: Math.min(maximumBalance, budget.balance + creditPerRequest)};
 }
--- a/dispatch/policy/src/adjust-limit.ts
+++ b/dispatch/policy/src/adjust-limit.ts
@@ -1,20 +1,21 @@
 import type {EndpointView} from './endpoint-view.ts';
 
 /**
-The limit falls above this part of the target and grows below the other, so that it rests a little under the target.
+The limit decreases above the first share of the target and increases below the second, so it settles slightly under
+the target.
 */
-const fallsAbove = 0.95;
-const growsBelow = 0.85;
-const decrease = 0.9;
-const increase = 1;
+const decreaseAboveShare = 0.95;
+const increaseBelowShare = 0.85;
+const decreaseFactor = 0.9;
+const increaseStep = 1;
 /**
-The limit grows only while it is nearly used up.
+The limit grows only while at least this share of it is in use.
 */
-const usedPart = 0.8;
-const decreasePauseMs = 1000;
-const increasePauseMs = 500;
-const smallestLimit = 1;
-const largestLimit = 1024;
+const usedShare = 0.8;
+const decreaseIntervalMs = 1000;
+const increaseIntervalMs = 500;
+const minimumLimit = 1;
+const maximumLimit = 1024;
 
 type LimitTarget = {
 	readonly interTokenMs: number;
@@ -25,8 +26,8 @@
 };
 
 /**
- Learns the limit of an endpoint from its time between tokens against the target: additive increase, multiplicative
- decrease. Returns the same object when nothing changes.
+ Adjusts an endpoint's concurrency limit to keep its time between tokens below the target (additive increase,
+ multiplicative decrease). Returns the same object when nothing changes.
 
  @example
  adjustLimit({...endpoint, interTokenMs: 80, limit: 10}, {interTokenMs: 52, now}).limit; // 9
@@ -37,15 +38,15 @@
 	}
 
 	const sinceMs = target.now - endpoint.limitChangedAt;
-	if (endpoint.interTokenMs > target.interTokenMs * fallsAbove) {
-		const isDue = sinceMs >= decreasePauseMs && endpoint.limit > smallestLimit;
-		return isDue ? withLimit(endpoint, Math.max(smallestLimit, endpoint.limit * decrease), target.now) : endpoint;
+	if (endpoint.interTokenMs > target.interTokenMs * decreaseAboveShare) {
+		const isDue = sinceMs >= decreaseIntervalMs && endpoint.limit > minimumLimit;
+		return isDue ? withLimit(endpoint, Math.max(minimumLimit, endpoint.limit * decreaseFactor), target.now) : endpoint;
 	}
 
-	const isUsed = endpoint.inFlight >= endpoint.limit * usedPart;
-	const isDue = sinceMs >= increasePauseMs && endpoint.limit < largestLimit;
-	return isUsed && isDue && endpoint.interTokenMs < target.interTokenMs * growsBelow
-		? withLimit(endpoint, Math.min(largestLimit, endpoint.limit + increase), target.now)
+	const isNearlyUsed = endpoint.inFlight >= endpoint.limit * usedShare;
+	const isDue = sinceMs >= increaseIntervalMs && endpoint.limit < maximumLimit;
+	return isNearlyUsed && isDue && endpoint.interTokenMs < target.interTokenMs * increaseBelowShare
+		? withLimit(endpoint, Math.min(maximumLimit, endpoint.limit + increaseStep), target.now)
 		: endpoint;
 }
 
--- a/dispatch/policy/src/budget.ts
+++ b/dispatch/policy/src/budget.ts
@@ -1,5 +1,5 @@
 /**
-A budget of retries: each request earns a part of one, each retry spends one.
+A retry budget: each request adds a fraction of a retry to the balance, each retry subtracts one.
 */
 export type Budget = {
 	readonly balance: number;
--- a/dispatch/policy/src/choose-account.ts
+++ b/dispatch/policy/src/choose-account.ts
@@ -1,7 +1,7 @@
 import type {AccountView} from './account-view.ts';
 
 /**
- Picks the waiting client account that was served the fewest tokens over its weight.
+ Picks the waiting client account with the fewest served tokens in proportion to its weight.
 
  Source: virtual token counters, Sheng et al., "Fairness in Serving Large Language Models", 2024.
 
--- a/dispatch/policy/src/choose-endpoint.ts
+++ b/dispatch/policy/src/choose-endpoint.ts
@@ -4,22 +4,22 @@
 import {hasSlot} from './has-slot.ts';
 
 /**
- Picks, among the endpoints with a slot, the one with the shortest estimated time to the first token.
+ Picks the endpoint with a free slot and the shortest estimated time to the first token.
 
- @param candidates - Endpoints that may have a slot; others need not be among them.
- @param need - What the request needs; endpoints that it avoids are passed over.
+ @param candidates - Endpoints that may have a slot.
+ @param requirements - Requirements of the request; endpoints in `avoid` are skipped.
  @example
- chooseEndpoint(endpoints, need)?.id; // 'engine-3'
+ chooseEndpoint(endpoints, requirements)?.id; // 'engine-3'
  */
-export function chooseEndpoint(candidates: Iterable<EndpointView>, need: EndpointRequirements): EndpointView | undefined {
+export function chooseEndpoint(candidates: Iterable<EndpointView>, requirements: EndpointRequirements): EndpointView | undefined {
 	let best: EndpointView | undefined;
 	let bestMs = Infinity;
 	for (const endpoint of candidates) {
-		if (!hasSlot(endpoint, need) || need.avoid.includes(endpoint.id)) {
+		if (!hasSlot(endpoint, requirements) || requirements.avoid.includes(endpoint.id)) {
 			continue;
 		}
 
-		const milliseconds = estimateFirstToken(endpoint, need);
+		const milliseconds = estimateFirstToken(endpoint, requirements);
 		if (!(milliseconds < bestMs)) {
 			continue;
 		}
--- a/dispatch/policy/src/class-view.ts
+++ b/dispatch/policy/src/class-view.ts
@@ -1,7 +1,7 @@
 import type {RequestClass} from '@valvesaddle/types';
 
 /**
-What ordering needs to know of one class of a pool.
+State of a request class within a pool, as `rankClasses` uses it.
 */
 export type ClassView = {
 	readonly requestClass: RequestClass;
@@ -11,7 +11,7 @@
 	*/
 	readonly virtualTokens: number;
 	/**
-	Grants owed to the class under its floor.
+	Grants that the class has accrued under its floor; it is due one from 1 on.
 	*/
 	readonly floorCredit: number;
 };
--- a/dispatch/policy/src/eject-endpoint.ts
+++ b/dispatch/policy/src/eject-endpoint.ts
@@ -1,17 +1,17 @@
 import type {EndpointView} from './endpoint-view.ts';
 
 const firstEjectionMs = 5000;
-const longestEjectionMs = 60_000;
+const maximumEjectionMs = 60_000;
 
 /**
- Takes an endpoint out of use; each ejection in a row lasts twice as long.
+ Ejects an endpoint; each consecutive ejection lasts twice as long, up to a maximum.
 
  @example
  ejectEndpoint(endpoint, now).ejectedUntil; // now + 5000
  */
 export function ejectEndpoint(endpoint: EndpointView, now: number): EndpointView {
-	const lengthMs = Math.min(longestEjectionMs, firstEjectionMs * (2 ** endpoint.ejections));
+	const ejectionMs = Math.min(maximumEjectionMs, firstEjectionMs * (2 ** endpoint.ejections));
 	return {
-		...endpoint, state: 'ejected', ejectedUntil: now + lengthMs, ejections: endpoint.ejections + 1,
+		...endpoint, state: 'ejected', ejectedUntil: now + ejectionMs, ejections: endpoint.ejections + 1,
 	};
 }
--- a/dispatch/policy/src/endpoint-requirements.ts
+++ b/dispatch/policy/src/endpoint-requirements.ts
@@ -1,30 +1,30 @@
 import type {GrantMode} from './grant-mode.ts';
 
 /**
-What a request needs of an endpoint.
+Requirements that an endpoint must meet to be granted to a request.
 */
 export type EndpointRequirements = {
 	readonly mode: GrantMode;
 	/**
-	Floor of the class; used in mode `floor`.
+	Floor of the class, as a share of an endpoint's limit; used in mode `floor`.
 	*/
 	readonly floor: number;
 	/**
-	Slots of each endpoint to keep free for urgent work, as a part of its limit.
+	Share of each endpoint's limit that is reserved for urgent requests.
 	*/
 	readonly headroom: number;
 	readonly promptTokens: number;
 	readonly dataCentre: string;
 	/**
-	Endpoint that likely holds the session's prefix in its cache.
+	Endpoint that probably has the session's prefix in its cache.
 	*/
 	readonly sessionEndpoint: string | undefined;
 	/**
-	Endpoints that failed this request already.
+	Endpoints on which this request has already failed.
 	*/
 	readonly avoid: readonly string[];
 	/**
-	Whether the request may go to an endpoint on probation.
+	Whether the request may be sent to an endpoint in state `probing`.
 	*/
 	readonly mayProbe: boolean;
 };
--- a/dispatch/policy/src/endpoint-state.ts
+++ b/dispatch/policy/src/endpoint-state.ts
@@ -1,4 +1,10 @@
 /**
-Whether an endpoint takes new work; one that is `cooling` has asked for none for some time.
+Whether an endpoint may get new requests.
+
+- `live`: yes.
+- `probing`: one retryable request at a time, after an ejection.
+- `cooling`: no, until the cooldown that the endpoint requested is over.
+- `ejected`: no, until the ejection is over.
+- `leaving`: no, the endpoint is draining.
 */
 export type EndpointState = 'live' | 'probing' | 'cooling' | 'ejected' | 'leaving';
--- a/dispatch/policy/src/endpoint-view.ts
+++ b/dispatch/policy/src/endpoint-view.ts
@@ -1,7 +1,7 @@
 import type {EndpointState} from './endpoint-state.ts';
 
 /**
-An endpoint as its dispatcher sees it.
+State of an endpoint at its dispatcher.
 */
 export type EndpointView = {
 	readonly id: string;
@@ -9,7 +9,7 @@
 	readonly dataCentre: string;
 	readonly state: EndpointState;
 	/**
-	Learned limit of concurrent requests.
+	Concurrency limit, adjusted to the observed time between tokens.
 	*/
 	readonly limit: number;
 	/**
@@ -17,33 +17,33 @@
 	*/
 	readonly inFlight: number;
 	/**
-	Those of them in urgent classes.
+	Requests in flight in urgent classes.
 	*/
 	readonly urgentInFlight: number;
 	/**
-	Requests of others that the endpoint reported, decayed since.
+	Reported requests that this dispatcher did not grant; decays between reports.
 	*/
 	readonly external: number;
 	/**
-	Averages in milliseconds; `undefined` before the first sample.
+	Moving averages of the time to the first token and between tokens; `undefined` before the first sample.
 	*/
 	readonly firstTokenMs: number | undefined;
 	readonly interTokenMs: number | undefined;
 	/**
-	Times of the last changes, in milliseconds since the epoch.
+	Time of the last change of `limit` and end of the last ejection, in milliseconds since the epoch.
 	*/
 	readonly limitChangedAt: number;
 	readonly ejectedUntil: number;
 	/**
-	End of the time for which it asked for no requests, in milliseconds on the steady clock; 0 when it did not ask.
+	End of the last requested cooldown, in milliseconds of the monotonic clock; 0 if none was requested.
 	*/
 	readonly cooldownUntil: number;
 	/**
-	Ejections in a row; sets the next one's length.
+	Recent ejections; each doubles the duration of the next.
 	*/
 	readonly ejections: number;
 	/**
-	Failures in a row.
+	Consecutive failures.
 	*/
 	readonly failures: number;
 };
--- a/dispatch/policy/src/estimate-first-token.ts
+++ b/dispatch/policy/src/estimate-first-token.ts
@@ -7,24 +7,24 @@
 Prefill of one prompt token that is not in the endpoint's prefix cache.
 */
 const prefillMsPerToken = 0.25;
-const otherDataCentreMs = 1;
+const crossDataCentreMs = 1;
 /**
-Batch steps that a new request waits for on a full endpoint.
+Decoding steps that a new request waits for on an endpoint at its limit.
 */
-const stepsWhenFull = 8;
+const queuedStepsAtLimit = 8;
 
 /**
- Estimates the time to the first token on an endpoint, in milliseconds: its own average, what its load adds, the
- prefill that its prefix cache does not save, and the distance.
+ Estimates the time to the first token on an endpoint, in milliseconds, from its average, its load, the prefill of an
+ uncached prompt and the network latency.
 
  @example
- estimateFirstToken(endpoint, need); // 214.5
+ estimateFirstToken(endpoint, requirements); // 214.5
  */
-export function estimateFirstToken(endpoint: EndpointView, need: EndpointRequirements): number {
+export function estimateFirstToken(endpoint: EndpointView, requirements: EndpointRequirements): number {
 	const load = (endpoint.inFlight + endpoint.external) / endpoint.limit;
-	const base = endpoint.firstTokenMs ?? defaultFirstTokenMs;
-	const step = endpoint.interTokenMs ?? defaultInterTokenMs;
-	const prefill = need.sessionEndpoint === endpoint.id ? 0 : need.promptTokens * prefillMsPerToken;
-	const distance = need.dataCentre === endpoint.dataCentre ? 0 : otherDataCentreMs;
-	return (base / 2) + (base * load) + (step * stepsWhenFull * load) + prefill + distance;
+	const baseMs = endpoint.firstTokenMs ?? defaultFirstTokenMs;
+	const stepMs = endpoint.interTokenMs ?? defaultInterTokenMs;
+	const prefillMs = requirements.sessionEndpoint === endpoint.id ? 0 : requirements.promptTokens * prefillMsPerToken;
+	const networkMs = requirements.dataCentre === endpoint.dataCentre ? 0 : crossDataCentreMs;
+	return (baseMs / 2) + (baseMs * load) + (stepMs * queuedStepsAtLimit * load) + prefillMs + networkMs;
 }
--- a/dispatch/policy/src/grant-mode.ts
+++ b/dispatch/policy/src/grant-mode.ts
@@ -1,8 +1,8 @@
 /**
- Under which rule a slot is given.
+ Rule under which a slot is granted.
 
- - `urgent`: strict precedence; slots that lower work holds do not count against it.
- - `shared`: weighted fair share of what the learned limit leaves.
- - `floor`: the small part that a class gets even when urgent work fills the pool.
+ - `urgent`: strict precedence; only urgent requests count against the limit.
+ - `shared`: weighted fair share of the slots that remain within the limit.
+ - `floor`: minimum share of a class, granted even while urgent requests fill the pool.
  */
 export type GrantMode = 'urgent' | 'shared' | 'floor';
--- a/dispatch/policy/src/has-slot.ts
+++ b/dispatch/policy/src/has-slot.ts
@@ -4,30 +4,30 @@
 import type {GrantMode} from './grant-mode.ts';
 
 /**
-No endpoint gets more than this many times its limit, whatever the rule.
+Requests in flight never exceed the limit times this factor, under any rule.
 */
 const hardLimitFactor = 2;
 
 const closedStates: ReadonlySet<EndpointState> = new Set(['leaving', 'ejected', 'cooling']);
 
-type SlotRule = (endpoint: EndpointView, need: EndpointRequirements) => boolean;
+type SlotRule = (endpoint: EndpointView, requirements: EndpointRequirements) => boolean;
 
 const slotRules: Readonly<Record<GrantMode, SlotRule>> = {
 	urgent: endpoint => endpoint.urgentInFlight < endpoint.limit,
-	shared: (endpoint, need) => endpoint.inFlight + endpoint.external + (need.headroom * endpoint.limit) < endpoint.limit,
-	floor: (endpoint, need) => endpoint.inFlight - endpoint.urgentInFlight < Math.max(1, need.floor * endpoint.limit),
+	shared: (endpoint, requirements) => endpoint.inFlight + endpoint.external + (requirements.headroom * endpoint.limit) < endpoint.limit,
+	floor: (endpoint, requirements) => endpoint.inFlight - endpoint.urgentInFlight < Math.max(1, requirements.floor * endpoint.limit),
 };
 
 /**
- Tells whether an endpoint has a slot under the rule of the grant.
+ Checks whether an endpoint has a free slot under the grant's rule.
 
  @example
- hasSlot({...endpoint, limit: 4, inFlight: 4, urgentInFlight: 0}, {...need, mode: 'urgent'}); // true
+ hasSlot({...endpoint, limit: 4, inFlight: 4, urgentInFlight: 0}, {...requirements, mode: 'urgent'}); // true
  */
-export function hasSlot(endpoint: EndpointView, need: EndpointRequirements): boolean {
+export function hasSlot(endpoint: EndpointView, requirements: EndpointRequirements): boolean {
 	if (closedStates.has(endpoint.state)) {
 		return false;
 	}
 
-	return endpoint.state === 'probing' ? need.mayProbe && endpoint.inFlight === 0 : endpoint.inFlight < endpoint.limit * hardLimitFactor && slotRules[need.mode](endpoint, need);
+	return endpoint.state === 'probing' ? requirements.mayProbe && endpoint.inFlight === 0 : endpoint.inFlight < endpoint.limit * hardLimitFactor && slotRules[requirements.mode](endpoint, requirements);
 }
--- a/dispatch/policy/src/measure-headroom.ts
+++ b/dispatch/policy/src/measure-headroom.ts
@@ -1,11 +1,8 @@
 /**
-Largest part of a pool that is kept free.
+Maximum share of a pool's slots that is reserved.
 */
-const largestHeadroom = 0.25;
+const maximumHeadroom = 0.25;
 
-/**
-What the headroom is worked out from.
-*/
 type HeadroomInput = {
 	/**
 	Arrivals of urgent requests per second.
@@ -20,8 +17,8 @@
 };
 
 /**
- Sizes the part of a pool that is kept free for urgent work: the slots that urgent arrivals need on average and one
- standard deviation of a Poisson process more, less those that they hold already.
+ Measures the share of a pool's slots to reserve for urgent requests: the mean number of urgent requests in flight plus
+ one standard deviation of a Poisson process, less those already in flight.
 
  @example
  measureHeadroom({urgentPerSecond: 2, urgentHoldMs: 1000, urgentInFlight: 0, slots: 40}); // 0.0853…
@@ -31,7 +28,7 @@
 		return 0;
 	}
 
-	const needed = urgentPerSecond * (urgentHoldMs / 1000);
-	const missing = needed + Math.sqrt(needed) - urgentInFlight;
-	return Math.min(largestHeadroom, Math.max(0, missing / slots));
+	const requiredSlots = urgentPerSecond * (urgentHoldMs / 1000);
+	const missingSlots = requiredSlots + Math.sqrt(requiredSlots) - urgentInFlight;
+	return Math.min(maximumHeadroom, Math.max(0, missingSlots / slots));
 }
--- a/dispatch/policy/src/predict-wait.ts
+++ b/dispatch/policy/src/predict-wait.ts
@@ -2,29 +2,29 @@
 import type {WaitView} from './wait-view.ts';
 
 /**
-Slots below which a pool is taken as having none for shared work; keeps the division sane.
+Lower bound of the slots for shared requests, so that the division stays finite.
 */
-const fewestSlots = 0.5;
+const minimumSharedSlots = 0.5;
 
 /**
- Predicts how long a new request would wait for a slot, in milliseconds. Only work that goes before it counts: for an
- urgent class the urgent classes of the same or a higher priority, so urgent work is never refused on account of
- lower work.
+ Predicts how long a new request would wait for a slot, in milliseconds; `Infinity` if the pool has no slots. For an
+ urgent class, only urgent classes of the same or a higher priority count, so that other requests never cause an urgent
+ one to be refused.
 
  @example
- predictWait(question, views); // 1800
+ predictWait(input, views); // 1800
  */
-export function predictWait(question: WaitInput, views: readonly WaitView[]): number {
-	const own = views.find(view => view.requestClass.name === question.requestClass.name);
-	if (own === undefined || question.slots <= 0) {
+export function predictWait(input: WaitInput, views: readonly WaitView[]): number {
+	const own = views.find(view => view.requestClass.name === input.requestClass.name);
+	if (own === undefined || input.slots <= 0) {
 		return Infinity;
 	}
 
-	if (question.freeSlots > own.waiting) {
+	if (input.freeSlots > own.waiting) {
 		return 0;
 	}
 
-	return question.requestClass.urgent ? predictUrgentWait(question, views) : predictSharedWait(question, own, views);
+	return input.requestClass.urgent ? predictUrgentWait(input, views) : predictSharedWait(input, own, views);
 }
 
 function predictUrgentWait({requestClass, slots}: WaitInput, views: readonly WaitView[]): number {
@@ -38,7 +38,7 @@
 	return workMs / slots;
 }
 
-function predictSharedWait(question: WaitInput, own: WaitView, views: readonly WaitView[]): number {
+function predictSharedWait(input: WaitInput, own: WaitView, views: readonly WaitView[]): number {
 	let urgentWorkMs = 0;
 	let weights = 0;
 	for (const view of views) {
@@ -49,9 +49,9 @@
 		}
 	}
 
-	const {requestClass, slots} = question;
-	const left = Math.max(fewestSlots, slots - question.urgentSlots);
-	const classSlots = Math.max(requestClass.floor * slots, left * (requestClass.weight / weights));
-	const ahead = Math.min(own.waiting, question.accountWaiting * question.accountShares);
+	const {requestClass, slots} = input;
+	const sharedSlots = Math.max(minimumSharedSlots, slots - input.urgentSlots);
+	const classSlots = Math.max(requestClass.floor * slots, sharedSlots * (requestClass.weight / weights));
+	const ahead = Math.min(own.waiting, input.accountWaiting * input.accountShares);
 	return (urgentWorkMs / slots) + (((ahead + 1) * own.holdMs) / classSlots);
 }
--- a/dispatch/policy/src/ranked-class.ts
+++ b/dispatch/policy/src/ranked-class.ts
@@ -1,7 +1,7 @@
 import type {GrantMode} from './grant-mode.ts';
 
 /**
-A class to try next, and under which rule.
+A class to grant to next, and the rule for the grant.
 */
 export type RankedClass = {
 	readonly className: string;
--- a/dispatch/policy/src/take-from-budget.ts
+++ b/dispatch/policy/src/take-from-budget.ts
@@ -1,7 +1,7 @@
 import type {Budget} from './budget.ts';
 
 /**
- Takes one retry out of a budget; `undefined` when it does not hold one.
+ Takes one retry from a budget; `undefined` if the balance is too low.
 
  @example
  takeFromBudget({balance: 0.5}); // undefined
--- a/dispatch/policy/src/update-average.ts
+++ b/dispatch/policy/src/update-average.ts
@@ -1,5 +1,5 @@
 /**
- Exponentially weighted moving average.
+ Updates an exponentially weighted moving average.
 
  @param previous - Average so far; `undefined` before the first sample.
  @param sample - New value.
--- a/dispatch/policy/src/wait-input.ts
+++ b/dispatch/policy/src/wait-input.ts
@@ -1,24 +1,24 @@
 import type {RequestClass} from '@valvesaddle/types';
 
 /**
-A request that asks how long it would wait.
+Input of `predictWait`: the request's class and the state of its pool.
 */
 export type WaitInput = {
 	readonly requestClass: RequestClass;
 	/**
-	Requests of the same client account and class that wait already.
+	Waiting requests of the same client account and class.
 	*/
 	readonly accountWaiting: number;
 	/**
-	Client accounts that wait in the class, this one included, by weight: sum of weights over the own weight.
+	Sum of the weights of the client accounts that wait in the class, including this one, divided by this one's weight.
 	*/
 	readonly accountShares: number;
 	/**
-	Sum of the learned limits of the endpoints in use.
+	Sum of the limits of the live endpoints.
 	*/
 	readonly slots: number;
 	/**
-	Slots that urgent work holds or is kept for.
+	Slots that urgent requests use or that are reserved for them.
 	*/
 	readonly urgentSlots: number;
 	/**
--- a/dispatch/policy/src/wait-view.ts
+++ b/dispatch/policy/src/wait-view.ts
@@ -1,7 +1,7 @@
 import type {RequestClass} from '@valvesaddle/types';
 
 /**
-What a class adds to the wait of others.
+State of a request class within a pool, as `predictWait` uses it.
 */
 export type WaitView = {
 	readonly requestClass: RequestClass;
--- a/dispatch/policy/test/policy.test.ts
+++ b/dispatch/policy/test/policy.test.ts
@@ -25,7 +25,7 @@
 	id: 'e1', url: 'http://127.0.0.1:1', dataCentre: 'dc-1', state: 'live', limit: 8, inFlight: 0, urgentInFlight: 0, external: 0,
 	firstTokenMs: undefined, interTokenMs: undefined, limitChangedAt: 0, ejectedUntil: 0, cooldownUntil: 0, ejections: 0, failures: 0,
 };
-const baseNeed: EndpointRequirements = {
+const baseRequirements: EndpointRequirements = {
 	mode: 'shared', floor: 0.05, headroom: 0, promptTokens: 100, dataCentre: 'dc-1', sessionEndpoint: undefined, avoid: [], mayProbe: true,
 };
 const classView = fc.record({
@@ -42,18 +42,18 @@
 	state: fc.constantFrom('live', 'probing', 'ejected', 'leaving'),
 }).map((part): EndpointView => ({...baseEndpoint, ...part, urgentInFlight: Math.min(part.urgentInFlight, part.inFlight)}));
 
-test('urgent classes go before all shared ones, by priority, whatever waits', t => {
+test('urgent classes are ranked by priority and before all shared classes', t => {
 	fc.assert(fc.property(fc.array(classView, {maxLength: 8}), views => {
-		const turns = rankClasses(views);
-		const modes = turns.map(({mode}) => mode);
+		const ranked = rankClasses(views);
+		const modes = ranked.map(({mode}) => mode);
 		t.same(modes, [...modes.filter(mode => mode === 'floor'), ...modes.filter(mode => mode === 'urgent'), ...modes.filter(mode => mode === 'shared')]);
-		const priorities = turns.filter(({mode}) => mode === 'urgent').map(({className}) => views.find(view => view.requestClass.name === className && view.requestClass.urgent)?.requestClass.priority ?? -1);
+		const priorities = ranked.filter(({mode}) => mode === 'urgent').map(({className}) => views.find(view => view.requestClass.name === className && view.requestClass.urgent)?.requestClass.priority ?? -1);
 		return priorities.length < 2 || new Set(views.map(view => view.requestClass.name)).size < views.length || priorities.every((priority, index) => index === 0 || priority >= (priorities[index - 1] ?? 0));
 	}), {numRuns: 200});
 	t.end();
 });
 
-test('every class that waits gets a turn', t => {
+test('every class with waiting requests is ranked', t => {
 	fc.assert(fc.property(fc.array(classView, {maxLength: 8}), views => {
 		const named = new Set(rankClasses(views).map(({className}) => className));
 		return views.filter(view => view.waiting > 0).every(view => named.has(view.requestClass.name));
@@ -61,7 +61,7 @@
 	t.end();
 });
 
-test('among shared classes the one served least over its weight goes first', t => {
+test('the shared class with the fewest served tokens for its weight is ranked first', t => {
 	const views: readonly ClassView[] = [
 		{
 			requestClass: {...baseClass, name: 'route'}, waiting: 1, virtualTokens: 900, floorCredit: 0,
@@ -74,7 +74,7 @@
 	t.end();
 });
 
-test('a floor that is due goes first', t => {
+test('a class whose floor is due is ranked first', t => {
 	const views: readonly ClassView[] = [
 		{
 			requestClass: {
@@ -89,19 +89,19 @@
 	t.end();
 });
 
-test('lower work never takes a slot away from urgent work', t => {
+test('shared requests never take a slot away from urgent requests', t => {
 	fc.assert(fc.property(endpointView, fc.nat(40), (endpoint, lower) => {
 		const urgentOnly = {...endpoint, state: 'live' as const, inFlight: endpoint.urgentInFlight};
 		const withLower = {...urgentOnly, inFlight: Math.min(urgentOnly.inFlight + lower, Math.floor(endpoint.limit))};
-		const need = {...baseNeed, mode: 'urgent' as const};
-		return !hasSlot(urgentOnly, need) || hasSlot(withLower, need);
+		const requirements = {...baseRequirements, mode: 'urgent' as const};
+		return !hasSlot(urgentOnly, requirements) || hasSlot(withLower, requirements);
 	}));
 	t.end();
 });
 
-test('shared work never goes past the learned limit, and nothing past twice the limit', t => {
+test('shared requests never exceed the limit, and no requests exceed twice the limit', t => {
 	fc.assert(fc.property(endpointView, fc.constantFrom('urgent', 'shared', 'floor'), (endpoint, mode) => {
-		const isTaken = hasSlot({...endpoint, state: 'live'}, {...baseNeed, mode});
+		const isTaken = hasSlot({...endpoint, state: 'live'}, {...baseRequirements, mode});
 		return !isTaken || (endpoint.inFlight < endpoint.limit * 2 && (mode !== 'shared' || endpoint.inFlight < endpoint.limit));
 	}));
 	t.end();
@@ -109,43 +109,43 @@
 
 test('leaving and ejected endpoints are never chosen', t => {
 	fc.assert(fc.property(fc.array(endpointView, {maxLength: 10}), fc.constantFrom('urgent', 'shared', 'floor'), (endpoints, mode) => {
-		const chosen = chooseEndpoint(endpoints.map((endpoint, index) => ({...endpoint, id: `e${index}`})), {...baseNeed, mode});
+		const chosen = chooseEndpoint(endpoints.map((endpoint, index) => ({...endpoint, id: `e${index}`})), {...baseRequirements, mode});
 		return chosen === undefined || chosen.state === 'live' || chosen.state === 'probing';
 	}));
 	t.end();
 });
 
-test('an endpoint that failed the request is avoided while another may take it later', t => {
+test('an endpoint on which the request failed is avoided even while the others are full', t => {
 	const full = {...baseEndpoint, id: 'e2', inFlight: 8};
-	t.equal(chooseEndpoint([baseEndpoint, full], {...baseNeed, avoid: ['e1']}), undefined);
-	t.equal(chooseEndpoint([baseEndpoint, {...full, inFlight: 0}], {...baseNeed, avoid: ['e1']})?.id, 'e2');
+	t.equal(chooseEndpoint([baseEndpoint, full], {...baseRequirements, avoid: ['e1']}), undefined);
+	t.equal(chooseEndpoint([baseEndpoint, {...full, inFlight: 0}], {...baseRequirements, avoid: ['e1']})?.id, 'e2');
 	t.end();
 });
 
-test('a session sticks to the endpoint with its prefix unless that one is much busier', t => {
-	const need = {...baseNeed, promptTokens: 4000, sessionEndpoint: 'e1'};
-	t.equal(chooseEndpoint([{...baseEndpoint, inFlight: 2}, {...baseEndpoint, id: 'e2'}], need)?.id, 'e1');
-	t.equal(chooseEndpoint([{...baseEndpoint, inFlight: 7}, {...baseEndpoint, id: 'e2'}], {...need, promptTokens: 100})?.id, 'e2');
+test('a session stays on the endpoint with its cached prefix unless that one is much busier', t => {
+	const requirements = {...baseRequirements, promptTokens: 4000, sessionEndpoint: 'e1'};
+	t.equal(chooseEndpoint([{...baseEndpoint, inFlight: 2}, {...baseEndpoint, id: 'e2'}], requirements)?.id, 'e1');
+	t.equal(chooseEndpoint([{...baseEndpoint, inFlight: 7}, {...baseEndpoint, id: 'e2'}], {...requirements, promptTokens: 100})?.id, 'e2');
 	t.end();
 });
 
-test('an endpoint on probation takes one repeatable request at a time', t => {
+test('an endpoint in state probing gets one retryable request at a time', t => {
 	const probing = {...baseEndpoint, state: 'probing' as const};
-	t.ok(hasSlot(probing, baseNeed));
-	t.notOk(hasSlot({...probing, inFlight: 1}, baseNeed));
-	t.notOk(hasSlot(probing, {...baseNeed, mayProbe: false}));
+	t.ok(hasSlot(probing, baseRequirements));
+	t.notOk(hasSlot({...probing, inFlight: 1}, baseRequirements));
+	t.notOk(hasSlot(probing, {...baseRequirements, mayProbe: false}));
 	t.end();
 });
 
-test('waiting shared work does not lengthen the predicted wait of urgent work', t => {
+test('waiting shared requests do not affect the predicted wait of urgent requests', t => {
 	fc.assert(fc.property(fc.nat(10_000), fc.nat(50), (sharedWaiting, urgentWaiting) => {
 		const gate = {
 			...baseClass, name: 'gate', urgent: true, priority: 0,
 		};
-		const question = {
+		const input = {
 			requestClass: gate, accountWaiting: 0, accountShares: 1, slots: 10, urgentSlots: 0, freeSlots: 0,
 		};
-		const predict = (waiting: number): number => predictWait(question, [
+		const predict = (waiting: number): number => predictWait(input, [
 			{requestClass: gate, waiting: urgentWaiting, holdMs: 1000},
 			{requestClass: baseClass, waiting, holdMs: 10_000},
 		]);
@@ -154,7 +154,7 @@
 	t.end();
 });
 
-test('an account with little waiting is predicted a shorter wait than one with much', t => {
+test('an account with fewer waiting requests has a shorter predicted wait', t => {
 	const predict = (accountWaiting: number): number => predictWait({
 		requestClass: baseClass, accountWaiting, accountShares: 2, slots: 10, urgentSlots: 0, freeSlots: 0,
 	}, [{requestClass: baseClass, waiting: 100, holdMs: 5000}]);
@@ -162,20 +162,20 @@
 	t.end();
 });
 
-test('a pool without endpoints in use is predicted an endless wait', t => {
+test('the predicted wait is infinite for a pool without slots', t => {
 	t.equal(predictWait({
 		requestClass: baseClass, accountWaiting: 0, accountShares: 1, slots: 0, urgentSlots: 0, freeSlots: 0,
 	}, [{requestClass: baseClass, waiting: 0, holdMs: 1}]), Infinity);
 	t.end();
 });
 
-test('the account served least over its weight goes next, and only if it waits', t => {
+test('the waiting account with the fewest served tokens for its weight is chosen', t => {
 	t.equal(chooseAccount([{account: 'a', waiting: 1, virtualTokens: 9}, {account: 'b', waiting: 1, virtualTokens: 4}, {account: 'c', waiting: 0, virtualTokens: 0}]), 'b');
 	t.equal(chooseAccount([]), undefined);
 	t.end();
 });
 
-test('the limit falls when tokens come too slowly and rises only while it is used', t => {
+test('the limit decreases when tokens are slow and increases only while it is used', t => {
 	const now = 10_000;
 	t.equal(adjustLimit({...baseEndpoint, interTokenMs: 80}, {interTokenMs: 52, now}).limit, 7.2);
 	t.equal(adjustLimit({...baseEndpoint, interTokenMs: 20, inFlight: 8}, {interTokenMs: 52, now}).limit, 9);
@@ -184,7 +184,7 @@
 	t.end();
 });
 
-test('the limit stays between 1 and 1024 whatever the times', t => {
+test('the limit stays between 1 and 1024', t => {
 	fc.assert(fc.property(endpointView, fc.nat(1_000_000), (endpoint, now) => {
 		const {limit} = adjustLimit(endpoint, {interTokenMs: 52, now});
 		return limit >= 1 && limit <= 1024;
@@ -192,7 +192,7 @@
 	t.end();
 });
 
-test('stragglers are ejected, worst first, never more than three in ten', t => {
+test('slow and failing endpoints are found, but never more than three in ten are ejected', t => {
 	fc.assert(fc.property(fc.array(endpointView, {maxLength: 30}), endpoints => {
 		const named = endpoints.map((endpoint, index) => ({...endpoint, id: `e${index}`}));
 		const inUse = named.filter(({state}) => state !== 'leaving');
@@ -206,7 +206,7 @@
 	t.end();
 });
 
-test('each ejection in a row lasts longer, up to a minute', t => {
+test('each consecutive ejection lasts longer, up to a minute', t => {
 	const first = ejectEndpoint(baseEndpoint, 0);
 	t.equal(first.ejectedUntil, 5000);
 	t.equal(ejectEndpoint(first, 0).ejectedUntil, 10_000);
@@ -214,7 +214,7 @@
 	t.end();
 });
 
-test('headroom covers the urgent arrivals and never more than a quarter', t => {
+test('headroom covers the urgent arrivals, up to a quarter of the slots', t => {
 	t.equal(measureHeadroom({
 		urgentPerSecond: 0, urgentHoldMs: 1000, urgentInFlight: 0, slots: 40,
 	}), 0);
@@ -230,7 +230,7 @@
 	t.end();
 });
 
-test('retries never exceed a tenth of the requests and the first balance', t => {
+test('retries stay within a tenth of the requests', t => {
 	let budget = {balance: 0};
 	let retries = 0;
 	for (let request = 0; request < 1000; request++) {
