--- a/dispatch/lengths/src/create-length-model.ts
+++ b/dispatch/lengths/src/create-length-model.ts
@@ -1,18 +1,18 @@
 import {build, type Histogram} from 'hdr-histogram-js';
 import type {LengthModel} from './length-model.ts';
 
-const longestAnswer = 131_072;
-const defaultTokens = 200;
+const maximumAnswerTokens = 131_072;
+const defaultAnswerTokens = 200;
 const quantileCount = 20;
 const recordsPerRefresh = 32;
 /**
-After this many answers the histogram starts anew, so that old lengths are forgotten.
+The histogram is reset after this many answers, so that old lengths don't count.
 */
 const recordsPerWindow = 2048;
 /**
-An answer longer than all known ones is taken to go on for half its length.
+An answer longer than all recorded ones is expected to continue for half of its current length.
 */
-const beyondFactor = 1.5;
+const extrapolationFactor = 1.5;
 
 type ClassLengths = {
 	histogram: Histogram;
@@ -21,11 +21,12 @@
 };
 
 /**
- Creates a model of answer lengths: a histogram for each class, read as a posterior given the tokens so far.
+ Creates a model of answer lengths with a histogram for each class. The expected length is the mean of the
+ recorded quantiles that exceed the tokens so far.
 
  @example
  model.record('estimate', 412);
- model.expect('estimate', 0); // 200 until enough answers are known
+ model.expect('estimate', 0); // 200 until enough answers are recorded
  */
 export function createLengthModel(): LengthModel {
 	const classes = new Map<string, ClassLengths>();
@@ -35,7 +36,7 @@
 			const lengths = classes.get(className) ?? {histogram: buildHistogram(), sinceRefresh: 0, quantiles: []};
 			classes.set(className, lengths);
 			const rounded = Math.max(1, Math.round(tokens));
-			lengths.histogram.recordValue(Math.min(longestAnswer, rounded));
+			lengths.histogram.recordValue(Math.min(maximumAnswerTokens, rounded));
 			lengths.sinceRefresh++;
 			if (lengths.sinceRefresh >= recordsPerRefresh) {
 				updateQuantiles(lengths);
@@ -50,7 +51,7 @@
 
 function buildHistogram(): Histogram {
 	return build({
-		lowestDiscernibleValue: 1, highestTrackableValue: longestAnswer, numberOfSignificantValueDigits: 1, bitBucketSize: 32, useWebAssembly: false,
+		lowestDiscernibleValue: 1, highestTrackableValue: maximumAnswerTokens, numberOfSignificantValueDigits: 1, bitBucketSize: 32, useWebAssembly: false,
 	});
 }
 
@@ -65,18 +66,18 @@
 
 function predictLength(quantiles: readonly number[], tokensSoFar: number): number {
 	if (quantiles.length === 0) {
-		return Math.max(defaultTokens, tokensSoFar * beyondFactor);
+		return Math.max(defaultAnswerTokens, tokensSoFar * extrapolationFactor);
 	}
 
-	const longer = quantiles.filter(length => length > tokensSoFar);
-	if (longer.length === 0) {
-		return tokensSoFar * beyondFactor;
+	const longerLengths = quantiles.filter(length => length > tokensSoFar);
+	if (longerLengths.length === 0) {
+		return tokensSoFar * extrapolationFactor;
 	}
 
 	let sum = 0;
-	for (const length of longer) {
+	for (const length of longerLengths) {
 		sum += length;
 	}
 
-	return sum / longer.length;
+	return sum / longerLengths.length;
 }
--- a/dispatch/lengths/src/length-model.ts
+++ b/dispatch/lengths/src/length-model.ts
@@ -1,10 +1,10 @@
 /**
-Learns how long answers of each class are, in tokens.
+Estimates the answer length of each class, in tokens.
 */
 export type LengthModel = {
 	readonly record: (className: string, tokens: number) => void;
 	/**
-	Expected whole length of an answer that has `tokensSoFar` tokens already.
+	Expected total length of an answer that already has `tokensSoFar` tokens.
 	*/
 	readonly expect: (className: string, tokensSoFar: number) => number;
 };
--- a/dispatch/lengths/test/length-model.test.ts
+++ b/dispatch/lengths/test/length-model.test.ts
@@ -1,7 +1,7 @@
 import {test} from 'tap';
 import {createLengthModel} from '@valvesaddle/lengths';
 
-test('an answer that is longer than most is expected to be longer still', t => {
+test('the expected length grows with the tokens so far', t => {
 	const model = createLengthModel();
 	for (let answer = 0; answer < 64; answer++) {
 		model.record('estimate', answer % 2 === 0 ? 100 : 1000);
@@ -14,7 +14,7 @@
 	t.end();
 });
 
-test('a class without answers yet is expected a default, another one does not change it', t => {
+test('a class without recorded answers has the default length, whatever other classes record', t => {
 	const model = createLengthModel();
 	for (let answer = 0; answer < 64; answer++) {
 		model.record('gate', 5);
