--- a/dispatch/queue/src/account-queue.ts
+++ b/dispatch/queue/src/account-queue.ts
@@ -1,15 +1,18 @@
 import type {QueuedRequest} from './queued-request.ts';
 
 /**
-Requests of one client account in one class, oldest first.
+Waiting requests of one client account in one class, oldest first.
 */
 export type AccountQueue<Value> = {
 	readonly account: string;
 	readonly weight: number;
 	readonly items: Array<QueuedRequest<Value>>;
+	/**
+	Tokens served, divided by the weight.
+	*/
 	virtualTokens: number;
 	/**
-	Mirrors `items.length`, as the policy reads it.
+	Equals `items.length`; `AccountView` requires it as a property.
 	*/
 	waiting: number;
 };
--- a/dispatch/queue/src/class-queue.ts
+++ b/dispatch/queue/src/class-queue.ts
@@ -2,16 +2,16 @@
 import type {AccountQueue} from './account-queue.ts';
 
 /**
-All that waits in one class.
+Waiting requests of one class, by client account.
 */
 export type ClassQueue<Value> = {
 	requestClass: RequestClass;
 	/**
-	Every account ever seen, with its served tokens.
+	All accounts that have had requests, with their served tokens.
 	*/
 	readonly accounts: Map<string, AccountQueue<Value>>;
 	/**
-	Accounts that wait now.
+	Accounts with waiting requests.
 	*/
 	readonly active: Map<string, AccountQueue<Value>>;
 	waiting: number;
--- a/dispatch/queue/src/create-waiting-queue.ts
+++ b/dispatch/queue/src/create-waiting-queue.ts
@@ -6,17 +6,17 @@
 import type {WaitingQueue} from './waiting-queue.ts';
 
 /**
-Floor of a class that is not urgent and names none: every class keeps being served.
+Minimum floor of a class that is not urgent, so that no class starves.
 */
-const smallestFloor = 0.01;
+const minimumFloor = 0.01;
 /**
-A class saves up at most this many grants under its floor.
+Maximum number of grants that a class accrues under its floor.
 */
-const largestCredit = 2;
+const maximumFloorCredit = 2;
 
 /**
- Creates the queue of a pool. Within a class the account served least goes first, within an account the oldest
- request. An account or class that begins to wait does not bring along credit from its idle time.
+ Creates the queue of a pool. Within a class, the account with the fewest served tokens for its weight comes first;
+ within an account, the oldest request. Accounts and classes accrue no credit while they are idle.
 
  @example
  const queue = createWaitingQueue<string>();
@@ -51,7 +51,7 @@
 		return created;
 	}
 
-	function take(item: QueuedRequest<Value>): void {
+	function removeItem(item: QueuedRequest<Value>): void {
 		const classQueue = getClass(item.className);
 		const accountQueue = getAccount(classQueue, item.account);
 		const index = accountQueue.items.indexOf(item);
@@ -65,13 +65,13 @@
 		byRequest.delete(item.requestId);
 	}
 
-	function takeWhere(isWanted: (item: QueuedRequest<Value>) => boolean): ReadonlyArray<QueuedRequest<Value>> {
-		const taken = byRequest.values().filter(item => isWanted(item)).toArray();
-		for (const item of taken) {
-			take(item);
+	function takeWhere(isMatch: (item: QueuedRequest<Value>) => boolean): ReadonlyArray<QueuedRequest<Value>> {
+		const removed = byRequest.values().filter(item => isMatch(item)).toArray();
+		for (const item of removed) {
+			removeItem(item);
 		}
 
-		return taken;
+		return removed;
 	}
 
 	return {
@@ -95,7 +95,7 @@
 			}
 
 			if (accountQueue.waiting === 0) {
-				accountQueue.virtualTokens = Math.max(accountQueue.virtualTokens, findLeast(classQueue.active.values()));
+				accountQueue.virtualTokens = Math.max(accountQueue.virtualTokens, findMinimumTokens(classQueue.active.values()));
 				classQueue.active.set(item.account, accountQueue);
 			}
 
@@ -112,7 +112,7 @@
 		remove(requestId) {
 			const item = byRequest.get(requestId);
 			if (item !== undefined) {
-				take(item);
+				removeItem(item);
 			}
 
 			return item;
@@ -130,7 +130,7 @@
 				if (name === className) {
 					classQueue.floorCredit = isFloor ? classQueue.floorCredit - 1 : Math.max(0, classQueue.floorCredit - 1);
 				} else if (classQueue.waiting > 0) {
-					classQueue.floorCredit = Math.min(largestCredit, classQueue.floorCredit + classQueue.requestClass.floor);
+					classQueue.floorCredit = Math.min(maximumFloorCredit, classQueue.floorCredit + classQueue.requestClass.floor);
 				}
 			}
 		},
@@ -157,38 +157,38 @@
 }
 
 /**
-A class that a configuration just removed, or that another node knows already.
+Defaults for a class that this node's configuration does not contain: it was removed, or is only in a newer revision.
 */
 function createUnknownClass(name: string): RequestClass {
 	return {
-		name, priority: 99, urgent: false, firstTokenTargetMs: 10_000, maximumWaitMs: 10_000, weight: 1, floor: smallestFloor,
+		name, priority: 99, urgent: false, firstTokenTargetMs: 10_000, maximumWaitMs: 10_000, weight: 1, floor: minimumFloor,
 	};
 }
 
 function withFloor(requestClass: RequestClass): RequestClass {
-	return requestClass.urgent ? requestClass : {...requestClass, floor: Math.max(smallestFloor, requestClass.floor)};
+	return requestClass.urgent ? requestClass : {...requestClass, floor: Math.max(minimumFloor, requestClass.floor)};
 }
 
 function adjustVirtualTokens<Value>(classQueue: ClassQueue<Value>, all: Iterable<ClassQueue<Value>>): void {
-	let least = Infinity;
+	let minimum = Infinity;
 	for (const other of all) {
 		if (other !== classQueue && other.waiting > 0 && !other.requestClass.urgent) {
-			least = Math.min(least, other.virtualTokens);
+			minimum = Math.min(minimum, other.virtualTokens);
 		}
 	}
 
-	if (Number.isFinite(least)) {
-		classQueue.virtualTokens = Math.max(classQueue.virtualTokens, least);
+	if (Number.isFinite(minimum)) {
+		classQueue.virtualTokens = Math.max(classQueue.virtualTokens, minimum);
 	}
 }
 
-function findLeast(active: Iterable<{readonly virtualTokens: number}>): number {
-	let least = Infinity;
+function findMinimumTokens(active: Iterable<{readonly virtualTokens: number}>): number {
+	let minimum = Infinity;
 	for (const {virtualTokens} of active) {
-		least = Math.min(least, virtualTokens);
+		minimum = Math.min(minimum, virtualTokens);
 	}
 
-	return Number.isFinite(least) ? least : 0;
+	return Number.isFinite(minimum) ? minimum : 0;
 }
 
 function addByArrival<Value>(items: Array<QueuedRequest<Value>>, item: QueuedRequest<Value>): void {
--- a/dispatch/queue/src/waiting-queue.ts
+++ b/dispatch/queue/src/waiting-queue.ts
@@ -3,37 +3,40 @@
 import type {QueuedRequest} from './queued-request.ts';
 
 /**
-The requests that wait for one pool, fair over class and client account.
+Waiting requests of one pool, scheduled fairly between classes and client accounts.
 */
 export type WaitingQueue<Value> = {
 	/**
-	Takes over the classes and account weights of a configuration.
+	Applies the classes and account weights of a configuration.
 	*/
 	readonly configure: (classes: readonly RequestClass[], accountWeights: ReadonlyMap<string, number>) => void;
 	readonly push: (item: QueuedRequest<Value>) => void;
 	/**
-	The request that goes next within a class; stays in the queue.
+	Returns the next request of a class without removing it.
 	*/
 	readonly peek: (className: string) => QueuedRequest<Value> | undefined;
 	readonly remove: (requestId: string) => QueuedRequest<Value> | undefined;
 	/**
-	Takes out all requests that wait longer than their class allows.
+	Removes and returns all requests that have reached the maximum wait of their class.
 	*/
 	readonly takeExpired: (now: number) => ReadonlyArray<QueuedRequest<Value>>;
-	readonly takeWhere: (isWanted: (item: QueuedRequest<Value>) => boolean) => ReadonlyArray<QueuedRequest<Value>>;
 	/**
-	Charges tokens to a class and account; negative to give back.
+	Removes and returns all matching requests.
+	*/
+	readonly takeWhere: (isMatch: (item: QueuedRequest<Value>) => boolean) => ReadonlyArray<QueuedRequest<Value>>;
+	/**
+	Charges tokens to a class and account; a negative number refunds them.
 	*/
 	readonly charge: (className: string, account: string, tokens: number) => void;
 	/**
-	Books a grant under the floors: every other class that waits earns, a floor grant spends.
+	Records a grant to a class: all other waiting classes accrue floor credit, the granted class spends it.
 	*/
 	readonly recordGrant: (className: string, isFloor: boolean) => void;
 	readonly views: () => readonly ClassView[];
 	readonly waiting: (className: string) => number;
 	readonly accountWaiting: (className: string, account: string) => number;
 	/**
-	Sum of the weights of the accounts that wait in the class, the given one included, over its own.
+	Sum of the weights of the accounts that wait in the class, including the given one, divided by its own weight.
 	*/
 	readonly accountShares: (className: string, account: string) => number;
 	readonly size: () => number;
--- a/dispatch/queue/test/waiting-queue.test.ts
+++ b/dispatch/queue/test/waiting-queue.test.ts
@@ -19,7 +19,7 @@
 	};
 }
 
-test('requests of one account keep the order of their original arrival', t => {
+test('requests of one account are ordered by their original arrival', t => {
 	const queue = createQueue();
 	queue.push(createItem('late', {arrivedAt: 30}));
 	queue.push(createItem('early', {arrivedAt: 10}));
@@ -34,7 +34,7 @@
 	t.end();
 });
 
-test('two accounts that wait are served the same number of tokens, however much one of them sends', t => {
+test('waiting accounts of equal weight are served equally, however many requests each one sends', t => {
 	const queue = createQueue();
 	for (let index = 0; index < 100; index++) {
 		queue.push(createItem(`big-${index}`, {account: 'big'}));
@@ -75,7 +75,7 @@
 	t.end();
 });
 
-test('an account does not save up credit while it is idle', t => {
+test('an account accrues no credit while it is idle', t => {
 	const queue = createQueue();
 	queue.push(createItem('busy-1', {account: 'busy'}));
 	queue.charge('estimate', 'busy', 10_000);
@@ -87,7 +87,7 @@
 	t.end();
 });
 
-test('requests are taken out when their class allows no longer wait, and only then', t => {
+test('requests are removed when they reach the maximum wait of their class, and not before', t => {
 	const queue = createQueue();
 	queue.push(createItem('gate', {className: 'gate'}));
 	queue.push(createItem('estimate'));
@@ -98,21 +98,21 @@
 	t.end();
 });
 
-test('a class that waits earns its floor with the grants of others', t => {
+test('a waiting class accrues floor credit with the grants of other classes', t => {
 	const queue = createQueue();
 	queue.push(createItem('estimate'));
 	for (let grant = 0; grant < 100; grant++) {
 		queue.recordGrant('gate', false);
 	}
 
-	const getCredit = (): number => queue.views().find(view => view.requestClass.name === 'estimate')?.floorCredit ?? 0;
-	t.ok(getCredit() >= 0.99 && getCredit() <= 1.01);
+	const getFloorCredit = (): number => queue.views().find(view => view.requestClass.name === 'estimate')?.floorCredit ?? 0;
+	t.ok(getFloorCredit() >= 0.99 && getFloorCredit() <= 1.01);
 	queue.recordGrant('estimate', true);
-	t.ok(getCredit() < 0.01);
+	t.ok(getFloorCredit() < 0.01);
 	t.end();
 });
 
-test('counts stay right under any order of pushes and removals', t => {
+test('counts match the queue after any sequence of pushes and removals', t => {
 	const action = fc.record({
 		id: fc.nat(20), remove: fc.boolean(), className: fc.constantFrom('gate', 'route', 'estimate'), account: fc.constantFrom('a', 'b', 'c'),
 	});
