--- a/dispatch/pool/src/add-to-sums.ts
+++ b/dispatch/pool/src/add-to-sums.ts
@@ -2,11 +2,11 @@
 import type {PoolSums} from './pool-sums.ts';
 
 /**
- Adds an endpoint to the sums of its pool, or takes it out.
+ Adds an endpoint to the sums of its pool, or removes it from them.
 
- @param sums - Sums before.
+ @param sums - Sums before the change.
  @param view - The endpoint; `undefined` changes nothing.
- @param sign - 1 to add, -1 to take out.
+ @param sign - 1 to add, -1 to remove.
  @example
  addToSums(sums, view, 1).slots;
  */
--- a/dispatch/pool/src/class-stats.ts
+++ b/dispatch/pool/src/class-stats.ts
@@ -1,5 +1,5 @@
 /**
-Learned figures of the classes of a pool.
+Statistics of the request classes of a pool.
 */
 export type ClassStats = {
 	readonly recordArrival: (className: string) => void;
@@ -7,13 +7,16 @@
 	Records how long a grant was held, in milliseconds.
 	*/
 	readonly recordHold: (className: string, holdMs: number) => void;
+	/**
+	Average time that a grant of the class is held, in milliseconds.
+	*/
 	readonly holdMs: (className: string) => number;
 	/**
 	Arrivals per second of one class.
 	*/
 	readonly arrivalsPerSecond: (className: string) => number;
 	/**
-	Folds the arrivals since the last call into the rates.
+	Updates the arrival rates with the arrivals since the last call.
 	*/
 	readonly tick: (elapsedMs: number) => void;
 };
--- a/dispatch/pool/src/count-free-slots.ts
+++ b/dispatch/pool/src/count-free-slots.ts
@@ -1,20 +1,20 @@
 import {hasSlot, type EndpointRequirements, type EndpointView} from '@valvesaddle/policy';
 
 /**
- Counts the slots that requests of this need could take now.
+ Counts the free slots for requests with these requirements.
 
  @example
- countFreeSlots(endpoints, need); // 12
+ countFreeSlots(endpoints, requirements); // 12
  */
-export function countFreeSlots(views: Iterable<EndpointView>, need: EndpointRequirements): number {
+export function countFreeSlots(views: Iterable<EndpointView>, requirements: EndpointRequirements): number {
 	let free = 0;
 	for (const view of views) {
-		if (!hasSlot(view, need)) {
+		if (!hasSlot(view, requirements)) {
 			continue;
 		}
 
-		const held = need.mode === 'urgent' ? view.urgentInFlight : view.inFlight + view.external + (need.headroom * view.limit);
-		free += Math.max(1, view.limit - held);
+		const used = requirements.mode === 'urgent' ? view.urgentInFlight : view.inFlight + view.external + (requirements.headroom * view.limit);
+		free += Math.max(1, view.limit - used);
 	}
 
 	return free;
--- a/dispatch/pool/src/create-class-stats.ts
+++ b/dispatch/pool/src/create-class-stats.ts
@@ -9,7 +9,7 @@
 const rateWindowMs = 10_000;
 
 /**
- Creates the learned figures of a pool's classes.
+ Creates the statistics of a pool's request classes.
 
  @example
  stats.recordHold('barrier', 900);
--- a/dispatch/pool/src/create-endpoint-table.ts
+++ b/dispatch/pool/src/create-endpoint-table.ts
@@ -15,17 +15,17 @@
 
 const sampleWeight = 0.2;
 /**
-Part of the external load that is left after each tick without a report.
+Factor applied to the external load at each tick.
 */
-const externalDecay = 0.8;
-const negligibleExternal = 0.05;
+const externalDecayFactor = 0.8;
+const minimumExternal = 0.05;
 /**
-Bounds what a broken endpoint can ask for, in milliseconds.
+Upper bound for the cooldown that an endpoint requests, in case its value is wrong.
 */
-const longestCooldownMs = 300_000;
+const maximumCooldownMs = 300_000;
 
 /**
- Creates the table of a pool's endpoints. Views are replaced, never changed.
+ Creates the table of a pool's endpoints. Views are immutable and replaced on each change.
 
  @example
  const table = createEndpointTable({interTokenTargetMs: () => 52, onState() {}});
@@ -33,13 +33,13 @@
 export function createEndpointTable(options: EndpointTableOptions): EndpointTable {
 	let endpoints: readonly Endpoint[] = [];
 	let leavingIds: ReadonlySet<string> = new Set();
-	const saidLeaving = new Set<string>();
+	const reportedLeaving = new Set<string>();
 	const table = new Map<string, EndpointView>();
 	const index = createSlotIndex();
 	let sums: PoolSums = {
 		slots: 0, inFlight: 0, urgentInFlight: 0, live: 0,
 	};
-	let cached: readonly EndpointView[] | undefined;
+	let cachedViews: readonly EndpointView[] | undefined;
 
 	function setView(view: EndpointView): void {
 		const before = table.get(view.id);
@@ -50,13 +50,13 @@
 		table.set(view.id, view);
 		index.set(view);
 		sums = addToSums(addToSums(sums, before, -1), view, 1);
-		cached = undefined;
+		cachedViews = undefined;
 		if (before !== undefined && before.state !== view.state) {
 			options.onState(view.id, before.state, view.state);
 		}
 	}
 
-	function update(endpointId: string, change: (view: EndpointView) => EndpointView): void {
+	function updateView(endpointId: string, change: (view: EndpointView) => EndpointView): void {
 		const view = table.get(endpointId);
 		if (view !== undefined) {
 			setView(change(view));
@@ -64,11 +64,11 @@
 	}
 
 	function isLeaving(endpoint: Endpoint): boolean {
-		return endpoint.leaving || leavingIds.has(endpoint.id) || saidLeaving.has(endpoint.id);
+		return endpoint.leaving || leavingIds.has(endpoint.id) || reportedLeaving.has(endpoint.id);
 	}
 
-	function markLeaving(endpoint: Endpoint): void {
-		update(endpoint.id, view => {
+	function updateLeaving(endpoint: Endpoint): void {
+		updateView(endpoint.id, view => {
 			if (isLeaving(endpoint)) {
 				return view.state === 'leaving' ? view : {...view, state: 'leaving'};
 			}
@@ -86,17 +86,17 @@
 			return {...view, state: 'probing'};
 		}
 
-		return view.external > 0 ? {...view, external: view.external < negligibleExternal ? 0 : view.external * externalDecay} : view;
+		return view.external > 0 ? {...view, external: view.external < minimumExternal ? 0 : view.external * externalDecayFactor} : view;
 	}
 
 	function getViews(): readonly EndpointView[] {
-		cached ??= table.values().toArray();
-		return cached;
+		cachedViews ??= table.values().toArray();
+		return cachedViews;
 	}
 
-	function ejectStragglers(now: number): void {
+	function ejectOutliers(now: number): void {
 		for (const id of findOutliers(getViews())) {
-			update(id, view => ejectEndpoint({...view, interTokenMs: undefined, failures: 0}, now));
+			updateView(id, view => ejectEndpoint({...view, interTokenMs: undefined, failures: 0}, now));
 		}
 	}
 
@@ -113,48 +113,48 @@
 				sums = addToSums(sums, table.get(id), -1);
 				index.remove(id);
 				table.delete(id);
-				saidLeaving.delete(id);
-				cached = undefined;
+				reportedLeaving.delete(id);
+				cachedViews = undefined;
 			}
 
 			for (const endpoint of configured) {
 				const known = table.get(endpoint.id);
 				setView(known === undefined ? createEndpointView(endpoint) : {...known, url: endpoint.url, dataCentre: endpoint.dataCentre});
-				markLeaving(endpoint);
+				updateLeaving(endpoint);
 			}
 		},
 		updateInFlight(endpointId, by, isUrgent) {
-			update(endpointId, view => ({
+			updateView(endpointId, view => ({
 				...view,
 				inFlight: Math.max(0, view.inFlight + by),
 				urgentInFlight: Math.max(0, view.urgentInFlight + (isUrgent ? by : 0)),
 			}));
 		},
 		observeTimes(endpointId, firstTokenMs, interTokenMs) {
-			update(endpointId, view => adjustLimit({
+			updateView(endpointId, view => adjustLimit({
 				...view,
 				firstTokenMs: firstTokenMs === undefined ? view.firstTokenMs : updateAverage(view.firstTokenMs, firstTokenMs, sampleWeight),
 				interTokenMs: interTokenMs === undefined ? view.interTokenMs : updateAverage(view.interTokenMs, interTokenMs, sampleWeight),
 			}, {interTokenMs: options.interTokenTargetMs(), now: Date.now()}));
 		},
 		observeFailure(endpointId) {
-			update(endpointId, view => view.state === 'probing'
+			updateView(endpointId, view => view.state === 'probing'
 				? ejectEndpoint(view, Date.now())
 				: {...view, failures: view.failures + 1});
-			ejectStragglers(Date.now());
+			ejectOutliers(Date.now());
 		},
 		startCooldown(endpointId, milliseconds) {
-			const until = performance.now() + Math.min(longestCooldownMs, milliseconds);
-			update(endpointId, view => ({
+			const until = performance.now() + Math.min(maximumCooldownMs, milliseconds);
+			updateView(endpointId, view => ({
 				...view, state: view.state === 'leaving' ? 'leaving' : 'cooling', cooldownUntil: Math.max(until, view.cooldownUntil),
 			}));
 		},
 		getCooldownMs() {
-			const ends = getViews().filter(({state}) => state === 'cooling').map(({cooldownUntil}) => cooldownUntil);
-			return ends.length === 0 ? undefined : Math.max(0, Math.min(...ends) - performance.now());
+			const expiries = getViews().filter(({state}) => state === 'cooling').map(({cooldownUntil}) => cooldownUntil);
+			return expiries.length === 0 ? undefined : Math.max(0, Math.min(...expiries) - performance.now());
 		},
 		observeSuccess(endpointId) {
-			update(endpointId, view => view.state === 'probing'
+			updateView(endpointId, view => view.state === 'probing'
 				? {...view, state: 'live', failures: 0}
 				: {...view, failures: 0, ejections: view.state === 'live' && view.failures === 0 ? Math.max(0, view.ejections - 0.1) : view.ejections});
 		},
@@ -165,13 +165,13 @@
 			}
 
 			if (report.leaving) {
-				saidLeaving.add(endpointId);
+				reportedLeaving.add(endpointId);
 			} else {
-				saidLeaving.delete(endpointId);
+				reportedLeaving.delete(endpointId);
 			}
 
-			update(endpointId, view => ({...view, external: Math.max(0, report.requests - view.inFlight)}));
-			markLeaving(endpoint);
+			updateView(endpointId, view => ({...view, external: Math.max(0, report.requests - view.inFlight)}));
+			updateLeaving(endpoint);
 		},
 		tick() {
 			const now = Date.now();
@@ -179,7 +179,7 @@
 				setView(advanceView(view, now));
 			}
 
-			ejectStragglers(now);
+			ejectOutliers(now);
 		},
 		views: getViews,
 		configured: () => endpoints,
--- a/dispatch/pool/src/create-endpoint-view.ts
+++ b/dispatch/pool/src/create-endpoint-view.ts
@@ -2,7 +2,7 @@
 import type {EndpointView} from '@valvesaddle/policy';
 
 /**
- The view of an endpoint that nothing is known of yet.
+ Creates the initial view of an endpoint.
 
  @example
  createEndpointView(endpoint).limit; // the endpoint's initialLimit
--- a/dispatch/pool/src/create-grant-table.ts
+++ b/dispatch/pool/src/create-grant-table.ts
@@ -3,9 +3,9 @@
 import type {GrantTable} from './grant-table.ts';
 
 /**
-A node that is heard names each of its grants at least once in so many leases.
+A grant is removed if its node doesn't report it for this many lease durations. Nodes report their grants in rotation.
 */
-const leasesUnnamed = 20;
+const maximumLeasesWithoutReport = 20;
 
 /**
  Creates the table of a pool's open grants.
@@ -16,7 +16,7 @@
 export function createGrantTable(endpoints: EndpointTable, leaseMs: number): GrantTable {
 	const grants = new Map<string, GrantEntry>();
 	const byRequest = new Map<string, string>();
-	const heardAt = new Map<string, number>();
+	const lastSeenAt = new Map<string, number>();
 
 	function remove(grantId: string): GrantEntry | undefined {
 		const entry = grants.get(grantId);
@@ -34,8 +34,8 @@
 	}
 
 	function isStale({node, renewedAt}: GrantEntry, now: number): boolean {
-		const nodeHeardAt = Math.max(renewedAt, heardAt.get(node) ?? 0);
-		return now - nodeHeardAt >= leaseMs || now - renewedAt >= leaseMs * leasesUnnamed;
+		const nodeLastSeenAt = Math.max(renewedAt, lastSeenAt.get(node) ?? 0);
+		return now - nodeLastSeenAt >= leaseMs || now - renewedAt >= leaseMs * maximumLeasesWithoutReport;
 	}
 
 	return {
@@ -51,7 +51,7 @@
 		},
 		remove,
 		renewNode(node, now) {
-			heardAt.set(node, now);
+			lastSeenAt.set(node, now);
 		},
 		removeStale(now) {
 			const stale = grants.values().filter(entry => isStale(entry, now)).toArray();
--- a/dispatch/pool/src/create-pool-dispatcher.ts
+++ b/dispatch/pool/src/create-pool-dispatcher.ts
@@ -35,13 +35,13 @@
 const defaultInterTokenMs = 52;
 const epochLength = 8;
 /**
-Outcomes that speak against the endpoint; the others are the caller's doing.
+Outcomes that count as failures of the endpoint.
 */
-const endpointFaults: ReadonlySet<ReleaseReport['outcome']> = new Set(['failed', 'not-run']);
+const endpointFailures: ReadonlySet<ReleaseReport['outcome']> = new Set(['failed', 'not-run']);
 
 /**
- Creates the dispatcher of one pool: a task without sockets that owns the queue, the grants and what was learned of
- the endpoints. Every decision is made by the pure functions of the policy package.
+ Creates the dispatcher of one pool. It owns the queue, the grants and the state of the endpoints, and uses no network.
+ Decisions are made by the pure functions of the policy package.
 
  @example
  const dispatcher = createPoolDispatcher({pool: 'drafting', configuration, leaving: new Set(), warmupMs: 0, grantLeaseMs: 5000, metrics});
@@ -56,7 +56,7 @@
 	const sessions = createSessionTable();
 	const openedAt = Date.now();
 	/**
-	Tells this dispatcher's grants from those of others; short, since every report names it.
+	Distinguishes this dispatcher's grants from those of others; short because every report contains it.
 	*/
 	const epoch = randomUUID().slice(0, epochLength);
 	let classes: ReadonlyMap<string, RequestClass> = new Map();
@@ -80,7 +80,7 @@
 		grantWaiting();
 	}
 
-	function toNeed(mode: GrantMode, request: AcquireRequest): EndpointRequirements {
+	function toRequirements(mode: GrantMode, request: AcquireRequest): EndpointRequirements {
 		return {
 			mode,
 			floor: classes.get(request.className)?.floor ?? 0,
@@ -88,14 +88,14 @@
 			promptTokens: request.promptTokens + request.tokensSoFar,
 			dataCentre: request.dataCentre,
 			sessionEndpoint: sessions.find(request.session),
-			// Endpoints that failed the request are taken again only when there are no others.
+			// Endpoints on which the request failed are used again only if there are no others.
 			avoid: request.avoid.length < table.sums().live ? request.avoid : [],
 			mayProbe: request.repeatable && mode !== 'urgent',
 		};
 	}
 
 	function predict(request: AcquireRequest, requestClass: RequestClass): number {
-		const need = toNeed(requestClass.urgent ? 'urgent' : 'shared', request);
+		const requirements = toRequirements(requestClass.urgent ? 'urgent' : 'shared', request);
 		const {slots, urgentInFlight} = table.sums();
 		return predictWait({
 			requestClass,
@@ -103,12 +103,12 @@
 			accountShares: queue.accountShares(request.className, request.account),
 			slots,
 			urgentSlots: urgentInFlight + (headroom * slots),
-			freeSlots: countFreeSlots(table.candidates(need.mode), need),
+			freeSlots: countFreeSlots(table.candidates(requirements.mode), requirements),
 		}, queue.views().map(view => ({...view, holdMs: stats.holdMs(view.requestClass.name)})));
 	}
 
 	/**
-	Without a slot the wait ends no earlier than the first cooldown; what waits for that is then granted in the order of the queue.
+	Predicts the wait; if the pool has no slots, it is the time until the first cooldown ends.
 	*/
 	function predictWithCooldown(request: AcquireRequest, requestClass: RequestClass): number {
 		const waitMs = predict(request, requestClass);
@@ -116,7 +116,7 @@
 	}
 
 	/**
-	Refuses a request that would wait too long; `undefined` lets it in.
+	Refuses a request whose predicted wait is too long; returns `undefined` if it is admitted.
 	*/
 	function admit(request: AcquireRequest): AcquireReply | undefined {
 		const requestClass = classes.get(request.className);
@@ -132,30 +132,30 @@
 		metrics.increment('dispatch.refused', 1, {class: request.className});
 		return Number.isFinite(waitMs)
 			? toRefusal('ERR_VALVESADDLE_OVERLOADED', `the predicted wait is ${Math.round(waitMs)} ms`, waitMs - requestClass.maximumWaitMs)
-			: toRefusal('ERR_VALVESADDLE_NO_ENDPOINT', `no endpoint of pool "${options.pool}" takes work`, 0);
+			: toRefusal('ERR_VALVESADDLE_NO_ENDPOINT', `no endpoint of pool "${options.pool}" accepts requests`, 0);
 	}
 
 	function grantWaiting(): void {
-		while (queue.size() > 0 && rankClasses(queue.views()).some(turn => didGrant(turn))) {
-			// Each round grants one request.
+		while (queue.size() > 0 && rankClasses(queue.views()).some(ranked => didGrant(ranked))) {
+			// Each iteration grants one request.
 		}
 	}
 
-	function didGrant(turn: RankedClass): boolean {
+	function didGrant(ranked: RankedClass): boolean {
 		const isWarm = Date.now() - openedAt >= options.warmupMs;
-		if (!isWarm && turn.mode !== 'urgent') {
+		if (!isWarm && ranked.mode !== 'urgent') {
 			return false;
 		}
 
-		const item = queue.peek(turn.className);
-		const endpoint = item && chooseEndpoint(table.candidates(turn.mode), toNeed(turn.mode, item.value.request));
+		const item = queue.peek(ranked.className);
+		const endpoint = item && chooseEndpoint(table.candidates(ranked.mode), toRequirements(ranked.mode, item.value.request));
 		if (item === undefined || endpoint === undefined) {
 			return false;
 		}
 
 		queue.remove(item.requestId);
-		queue.recordGrant(turn.className, turn.mode === 'floor');
-		grant(item, endpoint, turn.mode);
+		queue.recordGrant(ranked.className, ranked.mode === 'floor');
+		grant(item, endpoint, ranked.mode);
 		return true;
 	}
 
@@ -197,9 +197,9 @@
 	}
 
 	/**
-	Takes back whatever an earlier asking of the same request holds.
+	Removes a request from the queue, with `reply` as its answer, and removes its grant.
 	*/
-	function takeBack(requestId: string, reply: AcquireReply): void {
+	function removeRequest(requestId: string, reply: AcquireReply): void {
 		queue.remove(requestId)?.value.settle(reply);
 		const entry = grants.findByRequest(requestId);
 		if (entry !== undefined) {
@@ -218,7 +218,7 @@
 		table.observeTimes(entry.endpointId, report.firstTokenMs, report.interTokenMs);
 		if (report.retryAfterMs !== undefined) {
 			table.startCooldown(entry.endpointId, report.retryAfterMs);
-		} else if (endpointFaults.has(report.outcome)) {
+		} else if (endpointFailures.has(report.outcome)) {
 			table.observeFailure(entry.endpointId);
 		} else if (report.outcome === 'complete') {
 			lengths.record(entry.className, report.tokens);
@@ -242,7 +242,7 @@
 		});
 	}
 
-	function addRegistered({node, grants: open}: RegisterRequest): void {
+	function registerGrants({node, grants: open}: RegisterRequest): void {
 		const now = Date.now();
 		const unknown = open.filter(({grantId}) => grants.find(grantId) === undefined);
 		for (const entry of unknown) {
@@ -260,7 +260,7 @@
 	function expireWaiting(now: number): void {
 		for (const {value: {request, settle}} of queue.takeExpired(now)) {
 			metrics.increment('dispatch.wait-expired', 1, {class: request.className});
-			settle(toRefusal('ERR_VALVESADDLE_WAIT_EXPIRED', `no slot of pool "${options.pool}" came free in time`, stats.holdMs(request.className)));
+			settle(toRefusal('ERR_VALVESADDLE_WAIT_EXPIRED', `no slot of pool "${options.pool}" became free in time`, stats.holdMs(request.className)));
 		}
 	}
 
@@ -289,12 +289,12 @@
 	return {
 		events,
 		async acquire(request) {
-			takeBack(request.requestId, {kind: 'moved', owner: undefined, admitted: true});
+			removeRequest(request.requestId, {kind: 'moved', owner: undefined, admitted: true});
 			stats.recordArrival(request.className);
 			return admit(request) ?? addToQueue(request);
 		},
 		cancel(requestId) {
-			takeBack(requestId, toRefusal('ERR_VALVESADDLE_CANCELLED', 'the request was taken back', 0));
+			removeRequest(requestId, toRefusal('ERR_VALVESADDLE_CANCELLED', 'the request was cancelled', 0));
 			grantWaiting();
 		},
 		release,
@@ -305,7 +305,7 @@
 				recordProgress(node, report, now);
 			}
 		},
-		register: addRegistered,
+		register: registerGrants,
 		dropNode(node) {
 			queue.takeWhere(({value}) => value.request.node === node);
 		},
--- a/dispatch/pool/src/create-session-table.ts
+++ b/dispatch/pool/src/create-session-table.ts
@@ -1,13 +1,13 @@
 import type {SessionTable} from './session-table.ts';
 
-const mostSessions = 20_000;
+const maximumSessions = 20_000;
 /**
-Engines cache prefixes in limited memory; after this time the prefix is likely gone.
+Engines cache prefixes in limited memory; after this time the prefix has probably been evicted.
 */
-const hintLifeMs = 600_000;
+const hintLifetimeMs = 600_000;
 
 /**
- Creates the table of session hints: bounded, the oldest goes first.
+ Creates a bounded table of session hints that evicts the oldest first.
 
  @example
  sessions.remember('depot-7', 'engine-2');
@@ -19,7 +19,7 @@
 	return {
 		find(session) {
 			const hint = session === undefined ? undefined : table.get(session);
-			return hint !== undefined && Date.now() - hint.at < hintLifeMs ? hint.endpointId : undefined;
+			return hint !== undefined && Date.now() - hint.at < hintLifetimeMs ? hint.endpointId : undefined;
 		},
 		record(session, endpointId) {
 			if (session === undefined) {
@@ -29,7 +29,7 @@
 			table.delete(session);
 			table.set(session, {endpointId, at: Date.now()});
 			const [oldest = ''] = table.keys();
-			if (table.size > mostSessions) {
+			if (table.size > maximumSessions) {
 				table.delete(oldest);
 			}
 		},
--- a/dispatch/pool/src/create-slot-index.ts
+++ b/dispatch/pool/src/create-slot-index.ts
@@ -8,11 +8,11 @@
 
 const modes: readonly GrantMode[] = ['urgent', 'shared', 'floor'];
 /**
-A configuration allows no larger floor, so an endpoint without a slot under this one has none under any.
+Maximum floor that a configuration allows; an endpoint without a slot at this floor has none at a smaller one.
 */
-const largestFloor = 0.3;
+const maximumFloor = 0.3;
 
-type Needs = Readonly<Record<GrantMode, EndpointRequirements>>;
+type RequirementsByMode = Readonly<Record<GrantMode, EndpointRequirements>>;
 
 /**
  Creates an empty index of slots.
@@ -26,11 +26,11 @@
 	const views = new Map<string, EndpointView>();
 	const free: Readonly<Record<GrantMode, Map<string, EndpointView>>> = {urgent: new Map(), shared: new Map(), floor: new Map()};
 	let headroom = 0;
-	let needs = createNeeds(headroom);
+	let requirements = createRequirements(headroom);
 
 	function update(view: EndpointView): void {
 		for (const mode of modes) {
-			if (hasSlot(view, needs[mode])) {
+			if (hasSlot(view, requirements[mode])) {
 				free[mode].set(view.id, view);
 			} else {
 				free[mode].delete(view.id);
@@ -55,7 +55,7 @@
 			}
 
 			headroom = next;
-			needs = createNeeds(headroom);
+			requirements = createRequirements(headroom);
 			for (const view of views.values()) {
 				update(view);
 			}
@@ -65,11 +65,11 @@
 }
 
 /**
-For each rule the need that most endpoints can meet.
+Creates the loosest requirements of each grant mode.
 */
-function createNeeds(headroom: number): Needs {
-	const widest: Omit<EndpointRequirements, 'mode'> = {
-		headroom, floor: largestFloor, promptTokens: 0, dataCentre: '', sessionEndpoint: undefined, avoid: [], mayProbe: true,
+function createRequirements(headroom: number): RequirementsByMode {
+	const loosest: Omit<EndpointRequirements, 'mode'> = {
+		headroom, floor: maximumFloor, promptTokens: 0, dataCentre: '', sessionEndpoint: undefined, avoid: [], mayProbe: true,
 	};
-	return {urgent: {...widest, mode: 'urgent'}, shared: {...widest, mode: 'shared'}, floor: {...widest, mode: 'floor'}};
+	return {urgent: {...loosest, mode: 'urgent'}, shared: {...loosest, mode: 'shared'}, floor: {...loosest, mode: 'floor'}};
 }
--- a/dispatch/pool/src/endpoint-table.ts
+++ b/dispatch/pool/src/endpoint-table.ts
@@ -5,38 +5,38 @@
 import type {SlotIndex} from './slot-index.ts';
 
 /**
-The endpoints of a pool with what the dispatcher learned of them.
+Endpoints of a pool and their state at the dispatcher.
 */
 export type EndpointTable = {
 	readonly configure: (endpoints: readonly Endpoint[], leaving: ReadonlySet<string>) => void;
 	/**
-	Counts one grant more (`by` 1) or fewer (`by` -1).
+	Adds (`by` 1) or removes (`by` -1) a request in flight.
 	*/
 	readonly updateInFlight: (endpointId: string, by: 1 | -1, isUrgent: boolean) => void;
 	/**
-	Takes over observed times and learns the limit from them.
+	Updates the average times and adjusts the limit to them.
 	*/
 	readonly observeTimes: (endpointId: string, firstTokenMs: number | undefined, interTokenMs: number | undefined) => void;
 	readonly observeFailure: (endpointId: string) => void;
 	/**
-	Takes no grants for an endpoint that asked for no requests for so many milliseconds.
+	Starts a cooldown that an endpoint requested; it gets no grants until the end.
 	*/
 	readonly startCooldown: (endpointId: string, milliseconds: number) => void;
 	/**
-	Milliseconds until the first endpoint that asked for no requests takes them again; `undefined` when none has asked.
+	Milliseconds until the first cooldown ends; `undefined` if no endpoint is cooling.
 	*/
 	readonly getCooldownMs: () => number | undefined;
 	readonly observeSuccess: (endpointId: string) => void;
 	readonly observeLoad: (endpointId: string, report: LoadReport) => void;
 	/**
-	Ejects stragglers, puts those on probation whose time is over, ends cooldowns, lets external load fade.
+	Ejects outliers, starts probing after ejections, ends cooldowns and decays the external load.
 	*/
 	readonly tick: () => void;
 	readonly views: () => readonly EndpointView[];
 	readonly configured: () => readonly Endpoint[];
 	readonly sums: () => PoolSums;
 	/**
-	Endpoints that may have a slot under a rule.
+	Endpoints that may have a free slot in a grant mode.
 	*/
 	readonly candidates: SlotIndex['candidates'];
 	readonly setHeadroom: SlotIndex['setHeadroom'];
--- a/dispatch/pool/src/grant-entry.ts
+++ b/dispatch/pool/src/grant-entry.ts
@@ -1,5 +1,5 @@
 /**
-An open grant as the dispatcher keeps it.
+An open grant in the dispatcher's table.
 */
 export type GrantEntry = {
 	readonly grantId: string;
@@ -11,12 +11,12 @@
 	readonly isUrgent: boolean;
 	readonly grantedAt: number;
 	/**
-	Last sign of life from the node, in milliseconds since the epoch.
+	Last report of this grant by the node, in milliseconds since the epoch.
 	*/
 	readonly renewedAt: number;
 	readonly tokens: number;
 	/**
-	Tokens charged to the account and class so far, ahead of their coming.
+	Tokens charged to the account and class so far; charged in advance, from the expected length of the answer.
 	*/
 	readonly charged: number;
 };
--- a/dispatch/pool/src/grant-table.ts
+++ b/dispatch/pool/src/grant-table.ts
@@ -1,7 +1,7 @@
 import type {GrantEntry} from './grant-entry.ts';
 
 /**
-The open grants of a pool; counts them at their endpoints.
+Open grants of a pool. Each one counts as in flight at its endpoint.
 */
 export type GrantTable = {
 	readonly add: (entry: GrantEntry) => void;
@@ -13,12 +13,12 @@
 	readonly replace: (entry: GrantEntry) => void;
 	readonly remove: (grantId: string) => GrantEntry | undefined;
 	/**
-	Notes a sign of life of a node, which renews all its grants for a lease.
+	Renews the lease of all grants of a node that has sent a progress message.
 	*/
 	readonly renewNode: (node: string, now: number) => void;
 	/**
-	Removes the grants whose node was silent for a lease, or did not name them for many leases although it was heard;
-	returns how many.
+	Removes the grants whose node has sent no progress message for a lease duration, or hasn't reported them in one for
+	many lease durations; returns their number.
 	*/
 	readonly removeStale: (now: number) => number;
 	readonly size: () => number;
--- a/dispatch/pool/src/load-report.ts
+++ b/dispatch/pool/src/load-report.ts
@@ -1,13 +1,13 @@
 /**
-What an engine says of its load; late, so it only corrects the dispatcher's own count.
+Load that an engine reports. It lags behind, so it only corrects the dispatcher's own count.
 */
 export type LoadReport = {
 	/**
-	Requests that run or wait at the engine.
+	Requests that are running or waiting at the engine.
 	*/
 	readonly requests: number;
 	/**
-	The engine's own word that it is leaving.
+	Whether the engine reports that it is draining.
 	*/
 	readonly leaving: boolean;
 };
--- a/dispatch/pool/src/measure-inter-token.ts
+++ b/dispatch/pool/src/measure-inter-token.ts
@@ -1,8 +1,8 @@
 import type {GrantEntry} from './grant-entry.ts';
 
 /**
- Time between tokens under a grant since its last report, in milliseconds; `undefined` before the second report with
- tokens. While no token comes, the silence itself counts.
+ Measures the average time between tokens of a grant since its last report, in milliseconds; `undefined` before the
+ second report with tokens. Without new tokens, it is the time since the last report.
 
  @example
  measureInterToken({...entry, tokens: 10, renewedAt: 0}, 60, 1000); // 20
--- a/dispatch/pool/src/pool-dispatcher-options.ts
+++ b/dispatch/pool/src/pool-dispatcher-options.ts
@@ -8,15 +8,16 @@
 	readonly pool: string;
 	readonly configuration: Configuration;
 	/**
-	Endpoints that the platform or their own word calls leaving.
+	Ids of endpoints that are draining, as the platform or the endpoint reported.
 	*/
 	readonly leaving: ReadonlySet<string>;
 	/**
-	Time after opening in which only urgent work is granted, while nodes register their grants; 0 on a lone node.
+	Time after the start in which only urgent requests are granted, while nodes register their open grants; 0 on a single
+	node.
 	*/
 	readonly warmupMs: number;
 	/**
-	A grant that its node does not renew for so long is taken back.
+	Grants that their node doesn't renew for this time are removed.
 	*/
 	readonly grantLeaseMs: number;
 	readonly metrics: Metrics;
--- a/dispatch/pool/src/pool-dispatcher.ts
+++ b/dispatch/pool/src/pool-dispatcher.ts
@@ -12,33 +12,33 @@
 import type {PoolStatus} from './pool-status.ts';
 
 /**
-The one place where the work of a pool is admitted, ordered and placed.
+Admits, orders and places the requests of a pool.
 */
 export type PoolDispatcher = {
 	readonly events: Emittery<PoolEvents>;
 	/**
-	Answers at once or when the request's turn comes.
+	Resolves when the request is granted, refused or moved to another dispatcher.
 	*/
 	readonly acquire: (request: AcquireRequest) => Promise<AcquireReply>;
 	readonly cancel: (requestId: string) => void;
 	readonly release: (report: ReleaseReport) => void;
 	readonly progress: (node: string, reports: readonly ProgressReport[]) => void;
 	/**
-	Counts grants that another dispatcher gave.
+	Adds open grants of an earlier dispatcher.
 	*/
 	readonly register: (request: RegisterRequest) => void;
 	/**
-	Forgets a node's waiting requests; its grants run out with their lease.
+	Removes a node's waiting requests; its grants expire with their lease.
 	*/
 	readonly dropNode: (node: string) => void;
 	readonly observeLoad: (endpointId: string, report: LoadReport) => void;
 	readonly configure: (configuration: Configuration, leaving: ReadonlySet<string>) => void;
 	/**
-	Expires, ejects, brings back; called several times a second.
+	Expires grants and waiting requests and updates endpoint states; called several times a second.
 	*/
 	readonly tick: () => void;
 	/**
-	Ends the duty: all that wait are told to ask elsewhere.
+	Answers all waiting requests with `moved`; returns their number.
 	*/
 	readonly close: () => number;
 	readonly endpoints: () => readonly Endpoint[];
--- a/dispatch/pool/src/pool-events.ts
+++ b/dispatch/pool/src/pool-events.ts
@@ -1,7 +1,7 @@
 import type {EndpointState} from '@valvesaddle/policy';
 
 /**
-Changes of state that a pool dispatcher tells.
+Events of a pool dispatcher.
 */
 export type PoolEvents = {
 	readonly endpointState: {
--- a/dispatch/pool/src/pool-status.ts
+++ b/dispatch/pool/src/pool-status.ts
@@ -1,7 +1,7 @@
 import type {EndpointView} from '@valvesaddle/policy';
 
 /**
-A pool as its dispatcher sees it.
+Status of a pool at its dispatcher.
 */
 export type PoolStatus = {
 	readonly pool: string;
--- a/dispatch/pool/src/pool-sums.ts
+++ b/dispatch/pool/src/pool-sums.ts
@@ -3,13 +3,13 @@
 */
 export type PoolSums = {
 	/**
-	Limits of the endpoints in use.
+	Limits of the live endpoints.
 	*/
 	readonly slots: number;
 	readonly inFlight: number;
 	readonly urgentInFlight: number;
 	/**
-	Endpoints in use.
+	Number of live endpoints.
 	*/
 	readonly live: number;
 };
--- a/dispatch/pool/src/session-table.ts
+++ b/dispatch/pool/src/session-table.ts
@@ -1,5 +1,5 @@
 /**
-Which endpoint served a session last, as a hint where its prefix is cached.
+Endpoint that served each session last, as a hint to where its prefix is cached.
 */
 export type SessionTable = {
 	readonly find: (session: string | undefined) => string | undefined;
--- a/dispatch/pool/src/slot-index.ts
+++ b/dispatch/pool/src/slot-index.ts
@@ -1,20 +1,20 @@
 import type {EndpointView, GrantMode} from '@valvesaddle/policy';
 
 /**
-Endpoints that may have a slot, by the rule of the grant, so that a full pool is not searched at every decision.
+Index of the endpoints that may have a free slot, by grant mode. It avoids a search of the whole pool for each decision.
 */
 export type SlotIndex = {
 	/**
-	Takes over an endpoint's new view.
+	Adds an endpoint or replaces its view.
 	*/
 	readonly set: (view: EndpointView) => void;
 	readonly remove: (endpointId: string) => void;
 	/**
-	Takes over the part of every limit that is kept free for urgent work.
+	Sets the share of every limit that is reserved for urgent requests.
 	*/
 	readonly setHeadroom: (headroom: number) => void;
 	/**
-	Endpoints that may have a slot under a rule.
+	Endpoints that may have a free slot in a grant mode.
 	*/
 	readonly candidates: (mode: GrantMode) => Iterable<EndpointView>;
 };
--- a/dispatch/pool/src/waiting-request.ts
+++ b/dispatch/pool/src/waiting-request.ts
@@ -1,7 +1,7 @@
 import type {AcquireReply, AcquireRequest} from '@valvesaddle/messages';
 
 /**
-A request that waits for its grant.
+A request that waits for a grant.
 */
 export type WaitingRequest = {
 	readonly request: AcquireRequest;
--- a/dispatch/pool/test/pool-dispatcher.test.ts
+++ b/dispatch/pool/test/pool-dispatcher.test.ts
@@ -51,13 +51,13 @@
 }
 
 /**
-Collects replies by request id as they come.
+Sends requests and collects the replies by request id.
 */
-function createInbox(dispatcher: PoolDispatcher) {
+function createCaller(dispatcher: PoolDispatcher) {
 	const replies = new Map<string, AcquireReply>();
 	return {
 		replies,
-		async ask(request: AcquireRequest) {
+		async acquire(request: AcquireRequest) {
 			void dispatcher.acquire(request).then(reply => replies.set(request.requestId, reply));
 			await settle();
 		},
@@ -72,39 +72,39 @@
 	}
 }
 
-test('a free pool grants at once', async t => {
+test('a pool with free slots grants immediately', async t => {
 	const dispatcher = createDispatcher(createConfiguration(1, 2));
-	const inbox = createInbox(dispatcher);
-	await inbox.ask(createRequest('a'));
-	t.same(inbox.granted(), ['a']);
+	const caller = createCaller(dispatcher);
+	await caller.acquire(createRequest('a'));
+	t.same(caller.granted(), ['a']);
 });
 
-test('urgent work goes to a full pool beyond the slots that lower work holds', async t => {
+test('urgent requests are granted in a pool that is full of other requests', async t => {
 	const dispatcher = createDispatcher(createConfiguration(1, 2));
-	const inbox = createInbox(dispatcher);
-	await inbox.ask(createRequest('lower-1'));
-	await inbox.ask(createRequest('lower-2'));
-	await inbox.ask(createRequest('lower-3'));
-	await inbox.ask(createRequest('gate-1', {className: 'gate'}));
-	t.same(inbox.granted(), ['lower-1', 'lower-2', 'gate-1']);
+	const caller = createCaller(dispatcher);
+	await caller.acquire(createRequest('lower-1'));
+	await caller.acquire(createRequest('lower-2'));
+	await caller.acquire(createRequest('lower-3'));
+	await caller.acquire(createRequest('gate-1', {className: 'gate'}));
+	t.same(caller.granted(), ['lower-1', 'lower-2', 'gate-1']);
 });
 
-test('while urgent work waits no lower request is granted past it, except under the floor', async t => {
+test('while urgent requests wait, other requests are granted only under their floor', async t => {
 	const dispatcher = createDispatcher(createConfiguration(1, 1));
-	const inbox = createInbox(dispatcher);
+	const caller = createCaller(dispatcher);
 	for (let index = 0; index < 30; index++) {
 		// eslint-disable-next-line no-await-in-loop -- in order
-		await inbox.ask(createRequest(`gate-${index}`, {className: 'gate', admitted: true}));
+		await caller.acquire(createRequest(`gate-${index}`, {className: 'gate', admitted: true}));
 	}
 
-	await inbox.ask(createRequest('estimate-1', {admitted: true}));
-	await inbox.ask(createRequest('estimate-2', {admitted: true}));
+	await caller.acquire(createRequest('estimate-1', {admitted: true}));
+	await caller.acquire(createRequest('estimate-2', {admitted: true}));
 	const order: string[] = [];
 	for (let turn = 0; turn < 28; turn++) {
-		const granted = inbox.granted().filter(id => !order.includes(id));
+		const granted = caller.granted().filter(id => !order.includes(id));
 		order.push(...granted);
 		for (const id of granted) {
-			dispatcher.release(toRelease(inbox.replies.get(id)));
+			dispatcher.release(toRelease(caller.replies.get(id)));
 		}
 
 		// eslint-disable-next-line no-await-in-loop -- in order
@@ -112,54 +112,54 @@
 	}
 
 	const firstEstimate = order.findIndex(id => id.startsWith('estimate'));
-	t.ok(firstEstimate >= 9, `the floor of a tenth gives one grant in ten, not earlier (${firstEstimate})`);
+	t.ok(firstEstimate >= 9, `a floor of 0.1 gives one grant in ten, not earlier (${firstEstimate})`);
 	t.ok(firstEstimate <= 12, `and not much later (${firstEstimate})`);
 });
 
-test('a request whose predicted wait is too long is refused at once with when to come back', async t => {
+test('a request whose predicted wait is too long is refused with a retry delay', async t => {
 	const dispatcher = createDispatcher(createConfiguration(1, 1));
-	const inbox = createInbox(dispatcher);
+	const caller = createCaller(dispatcher);
 	for (let index = 0; index < 10; index++) {
 		// eslint-disable-next-line no-await-in-loop -- in order
-		await inbox.ask(createRequest(`r${index}`));
+		await caller.acquire(createRequest(`r${index}`));
 	}
 
-	const last = inbox.replies.get('r9');
+	const last = caller.replies.get('r9');
 	t.match(last, {kind: 'refused', code: 'ERR_VALVESADDLE_OVERLOADED'});
 	t.ok(last?.kind === 'refused' && last.retryAfterMs >= 1000);
 });
 
-test('urgent work is admitted however much lower work waits', async t => {
+test('urgent requests are admitted however many other requests wait', async t => {
 	const dispatcher = createDispatcher(createConfiguration(1, 1));
-	const inbox = createInbox(dispatcher);
+	const caller = createCaller(dispatcher);
 	for (let index = 0; index < 50; index++) {
 		// eslint-disable-next-line no-await-in-loop -- in order
-		await inbox.ask(createRequest(`r${index}`, {admitted: true}));
+		await caller.acquire(createRequest(`r${index}`, {admitted: true}));
 	}
 
-	await inbox.ask(createRequest('gate', {className: 'gate'}));
-	t.equal(inbox.replies.get('gate')?.kind, 'granted');
+	await caller.acquire(createRequest('gate', {className: 'gate'}));
+	t.equal(caller.replies.get('gate')?.kind, 'granted');
 });
 
-test('a request that waits too long gets its final answer then and not later', async t => {
+test('a request is refused exactly when it reaches the maximum wait of its class', async t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const dispatcher = createDispatcher(createConfiguration(1, 1));
-	const inbox = createInbox(dispatcher);
-	await inbox.ask(createRequest('holder', {className: 'gate'}));
-	await inbox.ask(createRequest('waiter', {className: 'gate', admitted: true}));
+	const caller = createCaller(dispatcher);
+	await caller.acquire(createRequest('holder', {className: 'gate'}));
+	await caller.acquire(createRequest('waiter', {className: 'gate', admitted: true}));
 	for (let elapsed = 0; elapsed < 1900; elapsed += 100) {
 		clock.advance(100);
-		dispatcher.progress('n1', [{grantId: toRelease(inbox.replies.get('holder')).grantId, tokens: 1, firstTokenMs: 10}]);
+		dispatcher.progress('n1', [{grantId: toRelease(caller.replies.get('holder')).grantId, tokens: 1, firstTokenMs: 10}]);
 		dispatcher.tick();
 	}
 
 	await settle();
-	t.equal(inbox.replies.get('waiter'), undefined);
+	t.equal(caller.replies.get('waiter'), undefined);
 	clock.advance(100);
 	dispatcher.tick();
 	await settle();
-	t.match(inbox.replies.get('waiter'), {kind: 'refused', code: 'ERR_VALVESADDLE_WAIT_EXPIRED'});
+	t.match(caller.replies.get('waiter'), {kind: 'refused', code: 'ERR_VALVESADDLE_WAIT_EXPIRED'});
 });
 
 const refusal = {
@@ -170,18 +170,18 @@
 	return reply?.kind === 'granted' ? reply.grant.endpointId : '';
 }
 
-test('an endpoint that asked for a pause is granted to nobody until it is over', async t => {
+test('an endpoint gets no grants during its cooldown', async t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const dispatcher = createDispatcher(createConfiguration(2, 8));
-	const inbox = createInbox(dispatcher);
-	await inbox.ask(createRequest('first'));
-	const paused = getEndpoint(inbox.replies.get('first'));
-	dispatcher.release(toRelease(inbox.replies.get('first'), refusal));
+	const caller = createCaller(dispatcher);
+	await caller.acquire(createRequest('first'));
+	const cooling = getEndpoint(caller.replies.get('first'));
+	dispatcher.release(toRelease(caller.replies.get('first'), refusal));
 	for (const id of ['a', 'b', 'c', 'd']) {
 		// eslint-disable-next-line no-await-in-loop -- in order
-		await inbox.ask(createRequest(id));
-		t.not(getEndpoint(inbox.replies.get(id)), paused);
+		await caller.acquire(createRequest(id));
+		t.not(getEndpoint(caller.replies.get(id)), cooling);
 	}
 
 	const {now} = Date;
@@ -191,76 +191,76 @@
 	});
 	clock.advance(2999);
 	dispatcher.tick();
-	t.equal(dispatcher.status().endpoints.find(({id}) => id === paused)?.state, 'cooling', 'also when the time of day jumps');
+	t.equal(dispatcher.status().endpoints.find(({id}) => id === cooling)?.state, 'cooling', 'also when the wall clock jumps');
 	dispatcher.configure(createConfiguration(2, 8), new Set());
 	clock.advance(1);
-	t.equal(dispatcher.status().endpoints.find(({id}) => id === paused)?.state, 'cooling');
+	t.equal(dispatcher.status().endpoints.find(({id}) => id === cooling)?.state, 'cooling');
 	dispatcher.tick();
-	t.equal(dispatcher.status().endpoints.find(({id}) => id === paused)?.state, 'live');
+	t.equal(dispatcher.status().endpoints.find(({id}) => id === cooling)?.state, 'live');
 });
 
-test('while all endpoints have asked for a pause requests wait for its end, and urgent ones come first', async t => {
+test('while all endpoints are cooling, requests wait for the end of the cooldown, and urgent ones are granted first', async t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const dispatcher = createDispatcher(createConfiguration(1, 1));
-	const inbox = createInbox(dispatcher);
-	await inbox.ask(createRequest('first'));
-	dispatcher.release(toRelease(inbox.replies.get('first'), {...refusal, retryAfterMs: 1500}));
-	await inbox.ask(createRequest('estimate'));
-	await inbox.ask(createRequest('urgent', {className: 'gate'}));
-	t.same(inbox.granted(), ['first']);
+	const caller = createCaller(dispatcher);
+	await caller.acquire(createRequest('first'));
+	dispatcher.release(toRelease(caller.replies.get('first'), {...refusal, retryAfterMs: 1500}));
+	await caller.acquire(createRequest('estimate'));
+	await caller.acquire(createRequest('urgent', {className: 'gate'}));
+	t.same(caller.granted(), ['first']);
 	clock.advance(1500);
 	dispatcher.tick();
 	await settle();
-	t.ok(inbox.granted().includes('urgent'));
-	t.notOk(inbox.granted().includes('estimate'));
+	t.ok(caller.granted().includes('urgent'));
+	t.notOk(caller.granted().includes('estimate'));
 });
 
-test('a pause that outlasts the longest wait of a class is told to its callers', async t => {
+test('a request is refused if the cooldown exceeds the maximum wait of its class', async t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const dispatcher = createDispatcher(createConfiguration(1, 1));
-	const inbox = createInbox(dispatcher);
-	await inbox.ask(createRequest('first'));
-	dispatcher.release(toRelease(inbox.replies.get('first'), {...refusal, retryAfterMs: 15_000}));
-	await inbox.ask(createRequest('estimate'));
-	t.match(inbox.replies.get('estimate'), {kind: 'refused', retryAfterMs: 5000});
+	const caller = createCaller(dispatcher);
+	await caller.acquire(createRequest('first'));
+	dispatcher.release(toRelease(caller.replies.get('first'), {...refusal, retryAfterMs: 15_000}));
+	await caller.acquire(createRequest('estimate'));
+	t.match(caller.replies.get('estimate'), {kind: 'refused', retryAfterMs: 5000});
 });
 
-test('the time waited at an earlier dispatcher counts', async t => {
+test('the time waited at an earlier dispatcher counts towards the order', async t => {
 	const dispatcher = createDispatcher(createConfiguration(1, 1));
-	const inbox = createInbox(dispatcher);
-	await inbox.ask(createRequest('holder'));
-	await inbox.ask(createRequest('fresh', {waitedMs: 0, admitted: true}));
-	await inbox.ask(createRequest('moved', {waitedMs: 5000, admitted: true}));
-	dispatcher.release(toRelease(inbox.replies.get('holder')));
+	const caller = createCaller(dispatcher);
+	await caller.acquire(createRequest('holder'));
+	await caller.acquire(createRequest('fresh', {waitedMs: 0, admitted: true}));
+	await caller.acquire(createRequest('moved', {waitedMs: 5000, admitted: true}));
+	dispatcher.release(toRelease(caller.replies.get('holder')));
 	await settle();
-	t.same(inbox.granted(), ['holder', 'moved']);
+	t.same(caller.granted(), ['holder', 'moved']);
 });
 
-test('a grant that its node does not renew is taken back', async t => {
+test('a grant expires when its node does not renew it', async t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const dispatcher = createDispatcher(createConfiguration(1, 1));
-	const inbox = createInbox(dispatcher);
-	await inbox.ask(createRequest('lost', {node: 'dead'}));
-	await inbox.ask(createRequest('next'));
+	const caller = createCaller(dispatcher);
+	await caller.acquire(createRequest('lost', {node: 'failed'}));
+	await caller.acquire(createRequest('next'));
 	clock.advance(4900);
 	dispatcher.tick();
 	await settle();
-	t.same(inbox.granted(), ['lost']);
+	t.same(caller.granted(), ['lost']);
 	clock.advance(100);
 	dispatcher.tick();
 	await settle();
-	t.same(inbox.granted(), ['lost', 'next']);
+	t.same(caller.granted(), ['lost', 'next']);
 });
 
-test('a node that is heard keeps the grants that it did not name this time, but not for ever', async t => {
+test('progress messages of a node renew its unreported grants, but only for a limited time', async t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const dispatcher = createDispatcher(createConfiguration(1, 1));
-	const inbox = createInbox(dispatcher);
-	await inbox.ask(createRequest('forgotten'));
+	const caller = createCaller(dispatcher);
+	await caller.acquire(createRequest('forgotten'));
 	for (let elapsed = 0; elapsed < 99_000; elapsed += 1000) {
 		clock.advance(1000);
 		dispatcher.progress('n1', []);
@@ -274,36 +274,36 @@
 	t.equal(dispatcher.status().inFlight, 0);
 });
 
-test('registered grants of an earlier dispatcher count against the limit', async t => {
+test('registered grants of an earlier dispatcher count towards the limit', async t => {
 	const dispatcher = createDispatcher(createConfiguration(1, 1));
-	const inbox = createInbox(dispatcher);
+	const caller = createCaller(dispatcher);
 	dispatcher.register({
 		duty: 'drafting', node: 'n2', grants: [{
 			grantId: 'old', requestId: 'old-request', endpointId: 'e1', account: 'depot', className: 'estimate', tokens: 5,
 		}],
 	});
-	await inbox.ask(createRequest('next'));
-	t.same(inbox.granted(), []);
+	await caller.acquire(createRequest('next'));
+	t.same(caller.granted(), []);
 	dispatcher.release({...toRelease(undefined), grantId: 'old'});
 	await settle();
-	t.same(inbox.granted(), ['next']);
+	t.same(caller.granted(), ['next']);
 });
 
-test('a new dispatcher grants only urgent work until its warm-up is over', async t => {
+test('a new dispatcher grants only urgent requests during its warm-up', async t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const dispatcher = createDispatcher(createConfiguration(1, 4), 500);
-	const inbox = createInbox(dispatcher);
-	await inbox.ask(createRequest('estimate'));
-	await inbox.ask(createRequest('gate', {className: 'gate'}));
-	t.same(inbox.granted(), ['gate']);
+	const caller = createCaller(dispatcher);
+	await caller.acquire(createRequest('estimate'));
+	await caller.acquire(createRequest('gate', {className: 'gate'}));
+	t.same(caller.granted(), ['gate']);
 	clock.advance(500);
 	dispatcher.tick();
 	await settle();
-	t.same(inbox.granted(), ['gate', 'estimate']);
+	t.same(caller.granted(), ['gate', 'estimate']);
 });
 
-test('a leaving endpoint gets no grant from the moment that the dispatcher knows', async t => {
+test('a draining endpoint gets no grants', async t => {
 	const configuration = createConfiguration(2, 4);
 	const sources: ReadonlyArray<readonly [string, (dispatcher: PoolDispatcher) => void]> = [
 		['the list of VMs', dispatcher => {
@@ -312,30 +312,30 @@
 		['an operator', dispatcher => {
 			dispatcher.configure({...configuration, endpoints: configuration.endpoints.map(endpoint => ({...endpoint, leaving: endpoint.id === 'e1'}))}, new Set());
 		}],
-		['its own word', dispatcher => {
+		['its load report', dispatcher => {
 			dispatcher.observeLoad('e1', {requests: 0, leaving: true});
 		}],
 	];
-	for (const [name, tell] of sources) {
+	for (const [name, markLeaving] of sources) {
 		const dispatcher = createDispatcher(configuration);
-		const inbox = createInbox(dispatcher);
-		tell(dispatcher);
+		const caller = createCaller(dispatcher);
+		markLeaving(dispatcher);
 		for (let index = 0; index < 4; index++) {
 			// eslint-disable-next-line no-await-in-loop -- in order
-			await inbox.ask(createRequest(`r${index}`));
+			await caller.acquire(createRequest(`r${index}`));
 		}
 
-		const endpoints = Array.from(inbox.replies.values(), reply => reply.kind === 'granted' ? reply.grant.endpointId : reply.kind);
+		const endpoints = Array.from(caller.replies.values(), reply => reply.kind === 'granted' ? reply.grant.endpointId : reply.kind);
 		t.same(endpoints, ['e2', 'e2', 'e2', 'e2'], name);
 	}
 });
 
-test('a late load report corrects the own count and fades', async t => {
+test('the load from a report is counted and decays', async t => {
 	const dispatcher = createDispatcher(createConfiguration(2, 4));
-	const inbox = createInbox(dispatcher);
+	const caller = createCaller(dispatcher);
 	dispatcher.observeLoad('e1', {requests: 4, leaving: false});
-	await inbox.ask(createRequest('r1'));
-	const first = inbox.replies.get('r1');
+	await caller.acquire(createRequest('r1'));
+	const first = caller.replies.get('r1');
 	t.equal(first?.kind === 'granted' && first.grant.endpointId, 'e2');
 	for (let turn = 0; turn < 40; turn++) {
 		dispatcher.tick();
@@ -344,11 +344,11 @@
 	t.equal(dispatcher.status().endpoints[0]?.external, 0);
 });
 
-test('an endpoint that fails three times in a row is ejected and comes back after a probe', async t => {
+test('an endpoint is ejected after three consecutive failures and probed later', async t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const dispatcher = createDispatcher(createConfiguration(4, 1));
-	const inbox = createInbox(dispatcher);
+	const caller = createCaller(dispatcher);
 	const states: string[] = [];
 	dispatcher.events.on('endpointState', ({data}) => {
 		states.push(`${data.endpoint} ${data.to}`);
@@ -357,8 +357,8 @@
 		for (let index = 0; index < 4; index++) {
 			const id = `r${turn}-${index}`;
 			// eslint-disable-next-line no-await-in-loop -- in order
-			await inbox.ask(createRequest(id));
-			const reply = inbox.replies.get(id);
+			await caller.acquire(createRequest(id));
+			const reply = caller.replies.get(id);
 			const isBad = reply?.kind === 'granted' && reply.grant.endpointId === 'e1';
 			dispatcher.release(toRelease(reply, isBad
 				? {
@@ -374,39 +374,39 @@
 	t.equal(dispatcher.status().endpoints[0]?.state, 'probing');
 });
 
-test('a node that is lost leaves no request behind in the queue', async t => {
+test('the waiting requests of a lost node are removed', async t => {
 	const dispatcher = createDispatcher(createConfiguration(1, 1));
-	const inbox = createInbox(dispatcher);
-	await inbox.ask(createRequest('holder'));
-	await inbox.ask(createRequest('dead', {node: 'n9', admitted: true}));
+	const caller = createCaller(dispatcher);
+	await caller.acquire(createRequest('holder'));
+	await caller.acquire(createRequest('waiter', {node: 'n9', admitted: true}));
 	dispatcher.dropNode('n9');
 	t.equal(dispatcher.status().waiting, 0);
 });
 
-test('a dispatcher that closes tells all that wait to ask elsewhere', async t => {
+test('a closing dispatcher answers all waiting requests with moved', async t => {
 	const dispatcher = createDispatcher(createConfiguration(1, 1));
-	const inbox = createInbox(dispatcher);
-	await inbox.ask(createRequest('holder'));
-	await inbox.ask(createRequest('waiter', {admitted: true}));
+	const caller = createCaller(dispatcher);
+	await caller.acquire(createRequest('holder'));
+	await caller.acquire(createRequest('waiter', {admitted: true}));
 	t.equal(dispatcher.close(), 1);
 	await settle();
-	t.same(inbox.replies.get('waiter'), {kind: 'moved', owner: undefined, admitted: true});
+	t.same(caller.replies.get('waiter'), {kind: 'moved', owner: undefined, admitted: true});
 });
 
-test('asking again for the same request takes back what the first asking got', async t => {
+test('a repeated acquire replaces the earlier grant of the request', async t => {
 	const dispatcher = createDispatcher(createConfiguration(1, 1));
-	const inbox = createInbox(dispatcher);
-	await inbox.ask(createRequest('same'));
-	await inbox.ask(createRequest('same', {admitted: true}));
+	const caller = createCaller(dispatcher);
+	await caller.acquire(createRequest('same'));
+	await caller.acquire(createRequest('same', {admitted: true}));
 	t.equal(dispatcher.status().inFlight, 1);
 });
 
-test('a request that is taken back frees its slot', async t => {
+test('a cancelled request frees its slot', async t => {
 	const dispatcher = createDispatcher(createConfiguration(1, 1));
-	const inbox = createInbox(dispatcher);
-	await inbox.ask(createRequest('holder'));
-	await inbox.ask(createRequest('waiter', {admitted: true}));
+	const caller = createCaller(dispatcher);
+	await caller.acquire(createRequest('holder'));
+	await caller.acquire(createRequest('waiter', {admitted: true}));
 	dispatcher.cancel('holder');
 	await settle();
-	t.same(inbox.granted(), ['holder', 'waiter']);
+	t.same(caller.granted(), ['holder', 'waiter']);
 });
