--- a/dispatch/alone/src/create-uncoordinated-client.ts
+++ b/dispatch/alone/src/create-uncoordinated-client.ts
@@ -4,27 +4,27 @@
 import type {Endpoint} from '@valvesaddle/types';
 import type {UncoordinatedClientOptions} from './uncoordinated-client-options.ts';
 
-const choices = 2;
+const choiceCount = 2;
 
 /**
- Creates the baseline that measurements are set against: each node for itself picks the less loaded of two random
- endpoints, by their last load report and its own count since; priorities work only in the engines' own queues.
+ Creates a client without dispatchers, used as the baseline of measurements. Each node picks the less loaded of two
+ random endpoints, by their last load report and its own requests since. Priorities apply only in the engines' queues.
 
  @example
- const client = createAloneClient({configuration, readLoad, loadPollMs: 1500});
+ const client = createUncoordinatedClient({configuration, readLoad, loadPollMs: 1500});
  */
 export function createUncoordinatedClient(options: UncoordinatedClientOptions): DispatchClient {
-	const reported = new Map<string, number>();
+	const reportedRequests = new Map<string, number>();
 	const sentSince = new Map<string, number>();
 	const grants = new Map<string, string>();
 	let grantCount = 0;
 
 	function getLoad(id: string): number {
-		return (reported.get(id) ?? 0) + (sentSince.get(id) ?? 0);
+		return (reportedRequests.get(id) ?? 0) + (sentSince.get(id) ?? 0);
 	}
 
-	function pick(candidates: readonly Endpoint[]): Endpoint | undefined {
-		const drawn = Array.from({length: choices}, () => candidates[Math.floor(Math.random() * candidates.length)]);
+	function pickEndpoint(candidates: readonly Endpoint[]): Endpoint | undefined {
+		const drawn = Array.from({length: choiceCount}, () => candidates[Math.floor(Math.random() * candidates.length)]);
 		return drawn.filter(endpoint => endpoint !== undefined).toSorted((a, b) => getLoad(a.id) - getLoad(b.id))[0];
 	}
 
@@ -35,7 +35,7 @@
 				return;
 			}
 
-			reported.set(endpoint.id, report.requests);
+			reportedRequests.set(endpoint.id, report.requests);
 			sentSince.set(endpoint.id, 0);
 		}));
 	}
@@ -46,21 +46,21 @@
 	timer.unref();
 
 	return {
-		acquire(ask) {
-			const inPool = options.configuration().endpoints.filter(({pool, leaving}) => pool === ask.pool && !leaving);
-			const fresh = inPool.filter(({id}) => !ask.avoid.includes(id));
-			const endpoint = pick(fresh.length > 0 ? fresh : inPool);
+		acquire(parameters) {
+			const inPool = options.configuration().endpoints.filter(({pool, leaving}) => pool === parameters.pool && !leaving);
+			const preferred = inPool.filter(({id}) => !parameters.avoid.includes(id));
+			const endpoint = pickEndpoint(preferred.length > 0 ? preferred : inPool);
 			if (endpoint === undefined) {
-				return errAsync(new ValvesaddleError('ERR_VALVESADDLE_NO_ENDPOINT', `no endpoint of pool "${ask.pool}" takes work`, {retryAfterMs: 1000}));
+				return errAsync(new ValvesaddleError('ERR_VALVESADDLE_NO_ENDPOINT', `no endpoint of pool "${parameters.pool}" accepts requests`, {retryAfterMs: 1000}));
 			}
 
-			const grantId = `${ask.requestId}#${++grantCount}`;
+			const grantId = `${parameters.requestId}#${++grantCount}`;
 			grants.set(grantId, endpoint.id);
 			sentSince.set(endpoint.id, (sentSince.get(endpoint.id) ?? 0) + 1);
 			return okAsync({grantId, endpointId: endpoint.id, url: endpoint.url});
 		},
 		progress() {
-			// Nobody waits for it.
+			// No dispatcher needs the progress.
 		},
 		release({grantId}) {
 			const endpointId = grants.get(grantId);
