--- a/dispatch/ownership/src/create-duty-index.ts
+++ b/dispatch/ownership/src/create-duty-index.ts
@@ -3,13 +3,13 @@
 import type {DutyIndex} from './duty-index.ts';
 
 /**
-Not allowed in the name of a pool.
+Separates the pool's name from the shard's number; not allowed in the name of a pool.
 */
-const separator = '#';
+const shardSeparator = '#';
 const hashDigits = 8;
 
 /**
- Creates the index of dispatch duties of a configuration.
+ Creates the index of the dispatcher shards of a configuration.
 
  @example
  createDutyIndex(configuration).chooseDuty('drafting', 'session-7'); // 'drafting', or 'drafting#2'
@@ -25,8 +25,8 @@
 	return {
 		chooseDuty(pool, key) {
 			const inPool = endpoints.get(pool) ?? [];
-			const drawn = inPool[toNumber(key) % Math.max(1, inPool.length)];
-			return findDuty(pool, drawn?.id ?? key);
+			const chosen = inPool[toNumber(key) % Math.max(1, inPool.length)];
+			return findDuty(pool, chosen?.id ?? key);
 		},
 		chooseOther(pool, duty) {
 			const count = pools.get(pool)?.dispatchers ?? 1;
@@ -34,8 +34,8 @@
 				return undefined;
 			}
 
-			const number = Number(duty.slice(pool.length + separator.length));
-			return `${pool}${separator}${(number + 1) % count}`;
+			const number = Number(duty.slice(pool.length + shardSeparator.length));
+			return `${pool}${shardSeparator}${(number + 1) % count}`;
 		},
 		findDuty,
 		getConfiguration(duty) {
@@ -44,20 +44,20 @@
 		},
 		isDuty(duty) {
 			const pool = pools.get(findPool(duty));
-			const number = Number(duty.split(separator)[1] ?? 0);
-			return pool !== undefined && (pool.dispatchers === 1) === !duty.includes(separator) && number < pool.dispatchers;
+			const number = Number(duty.split(shardSeparator)[1] ?? 0);
+			return pool !== undefined && (pool.dispatchers === 1) === !duty.includes(shardSeparator) && number < pool.dispatchers;
 		},
 		findPool,
 	};
 }
 
 function findPool(duty: string): string {
-	const index = duty.indexOf(separator);
+	const index = duty.indexOf(shardSeparator);
 	return index === -1 ? duty : duty.slice(0, index);
 }
 
 function toDuty(pool: Pool | undefined, name: string, key: string): string {
-	return pool === undefined || pool.dispatchers === 1 ? name : `${name}${separator}${toNumber(key) % pool.dispatchers}`;
+	return pool === undefined || pool.dispatchers === 1 ? name : `${name}${shardSeparator}${toNumber(key) % pool.dispatchers}`;
 }
 
 function toNumber(key: string): number {
--- a/dispatch/ownership/src/rank-owners.ts
+++ b/dispatch/ownership/src/rank-owners.ts
@@ -1,7 +1,7 @@
 import {rankByHash} from '@valvesaddle/ranking';
 
 /**
- Ranks the nodes that may carry a duty by rendezvous hashing: the first is the owner, the next its successor.
+ Ranks the nodes that may own a duty by rendezvous hashing: the first is the owner, the next its successor.
 
  @example
  rankOwners('drafting', ['a1', 'b1', 'c1'])[0]; // 'b1'
--- a/dispatch/ownership/test/duty-index.test.ts
+++ b/dispatch/ownership/test/duty-index.test.ts
@@ -17,7 +17,7 @@
 	};
 }
 
-test('a pool with one dispatcher is one duty of its name', t => {
+test('a pool with one dispatcher is one duty with the same name', t => {
 	const index = createDutyIndex(createConfiguration(1, 5));
 	t.equal(index.chooseDuty('drafting', 'any'), 'drafting');
 	t.equal(index.findDuty('drafting', 'e3'), 'drafting');
@@ -26,7 +26,7 @@
 	t.end();
 });
 
-test('every endpoint of a split pool belongs to exactly one duty, and every request goes to one that has endpoints', t => {
+test('each endpoint of a split pool belongs to exactly one duty, and requests go only to duties with endpoints', t => {
 	fc.assert(fc.property(fc.integer({min: 1, max: 12}), fc.integer({min: 1, max: 60}), fc.string(), (dispatchers, endpoints, key) => {
 		const index = createDutyIndex(createConfiguration(dispatchers, endpoints));
 		const duties = new Set(Array.from({length: endpoints}, (_, number) => index.findDuty('drafting', `e${number}`)));
@@ -41,7 +41,7 @@
 	t.end();
 });
 
-test('requests are spread over the duties in proportion to their endpoints', t => {
+test('requests are distributed over the duties in proportion to their endpoints', t => {
 	const index = createDutyIndex(createConfiguration(4, 40));
 	const counts = new Map<string, number>();
 	for (let request = 0; request < 4000; request++) {
