--- a/dispatch/host/src/create-dispatch-host.ts
+++ b/dispatch/host/src/create-dispatch-host.ts
@@ -6,27 +6,27 @@
 
 const tickMs = 100;
 /**
-A dispatcher without grants and waiting requests is closed after this time.
+A dispatcher without grants and waiting requests is closed after this time without use.
 */
-const idleMs = 60_000;
+const idleTimeoutMs = 60_000;
 
 type OpenDuty = {
 	readonly dispatcher: PoolDispatcher;
 	usedAt: number;
 	polledAt: number;
 	/**
-	When this node stopped being the owner; 0 while it is.
+	Time at which this node stopped being the owner, in milliseconds since the epoch; 0 while it is the owner.
 	*/
 	lostAt: number;
 };
 
 /**
-Ownership must be gone for so long before a dispatcher is closed, so that a short suspicion moves nothing.
+Time from the loss of ownership to the closing of a dispatcher, so that a short suspicion doesn't move it.
 */
-const handOverMs = 1000;
+const ownershipGraceMs = 1000;
 
 /**
- Creates the host of a node's dispatch duties.
+ Creates the host of a node's dispatchers.
 
  @example
  const reply = await host.acquire(request);
@@ -34,7 +34,7 @@
 export function createDispatchHost(options: DispatchHostOptions): DispatchHost {
 	const duties = new Map<string, OpenDuty>();
 	/**
-	Rank order of the owners by duty, until the members or the pools change.
+	Ranking of the owners by duty; cleared when the members or the configuration change.
 	*/
 	const rankings = new Map<string, readonly string[]>();
 
@@ -64,13 +64,13 @@
 			return existing;
 		}
 
-		const isLone = options.membership.others().length === 0;
+		const isSingleNode = options.membership.others().length === 0;
 		const pool = index.findPool(duty);
 		const dispatcher = createPoolDispatcher({
 			pool,
 			configuration: index.getConfiguration(duty),
 			leaving: options.membership.leavingEndpoints(),
-			warmupMs: isLone ? 0 : options.warmupMs,
+			warmupMs: isSingleNode ? 0 : options.warmupMs,
 			grantLeaseMs: options.grantLeaseMs,
 			metrics: options.metrics,
 		});
@@ -98,8 +98,8 @@
 			opened.lostAt ||= now;
 		}
 
-		const isLost = opened.lostAt > 0 && now - opened.lostAt >= handOverMs;
-		const isIdle = opened.dispatcher.isIdle() && now - opened.usedAt >= idleMs;
+		const isLost = opened.lostAt > 0 && now - opened.lostAt >= ownershipGraceMs;
+		const isIdle = opened.dispatcher.isIdle() && now - opened.usedAt >= idleTimeoutMs;
 		if (isLost || isIdle || !index.isDuty(duty)) {
 			closeDuty(duty, opened);
 		}
@@ -138,9 +138,9 @@
 
 	options.membership.events.on('changed', applyConfiguration);
 
-	async function acquireTraced(request: AcquireRequest): Promise<Awaited<ReturnType<PoolDispatcher['acquire']>>> {
+	async function acquireWithTrace(request: AcquireRequest): Promise<Awaited<ReturnType<PoolDispatcher['acquire']>>> {
 		const hop = options.tracing.startHop('dispatch.queue', request.trace);
-		// A node with another configuration may ask for a duty that this one does not have.
+		// A node with another configuration may request a duty that this configuration does not contain.
 		const duty = index.isDuty(request.duty) ? request.duty : index.chooseDuty(index.findPool(request.duty), request.requestId);
 		hop.setAttribute('duty', duty);
 		const reply = await openDuty(duty).dispatcher.acquire(request);
@@ -150,7 +150,7 @@
 	}
 
 	/**
-	The dispatcher of a duty; for one that this configuration does not have, all that may have served it instead.
+	Finds the dispatcher of a duty. For a duty that this configuration doesn't contain, returns all that may have served it.
 	*/
 	function findDispatchers(duty: string): readonly PoolDispatcher[] {
 		const opened = duties.get(duty);
@@ -164,7 +164,7 @@
 	return {
 		async acquire(request) {
 			const owner = findOwner(request.duty, request.skipped);
-			return owner === options.node || request.forced ? acquireTraced(request) : {kind: 'moved', owner, admitted: false};
+			return owner === options.node || request.forced ? acquireWithTrace(request) : {kind: 'moved', owner, admitted: false};
 		},
 		cancel({duty, requestId}) {
 			for (const dispatcher of findDispatchers(duty)) {
--- a/dispatch/host/src/dispatch-host-options.ts
+++ b/dispatch/host/src/dispatch-host-options.ts
@@ -13,10 +13,13 @@
 	readonly membership: Membership;
 	readonly configuration: () => Configuration;
 	/**
-	Asks an engine for its load; `undefined` when it does not say.
+	Requests the load of an engine; `undefined` if it is not reported.
 	*/
 	readonly readLoad: (endpoint: Endpoint) => Promise<LoadReport | undefined>;
 	readonly loadPollMs: number;
+	/**
+	Time after the start of a dispatcher in which it grants only urgent requests, in milliseconds.
+	*/
 	readonly warmupMs: number;
 	readonly grantLeaseMs: number;
 	readonly tracing: Tracing;
--- a/dispatch/host/src/dispatch-host.ts
+++ b/dispatch/host/src/dispatch-host.ts
@@ -3,20 +3,23 @@
 import type {PoolStatus} from '@valvesaddle/pool';
 
 /**
-Carries the dispatch duties of a node: opens the dispatcher of a pool when first asked, closes it when the duty moves.
+Runs the dispatchers of a node: opens one on the first request for its duty and closes it when the duty moves.
 */
 export type DispatchHost = DispatchPort & {
+	/**
+	Removes the waiting requests of a lost node.
+	*/
 	readonly dropNode: (node: string) => void;
 	/**
-	Hands a new configuration to the open dispatchers.
+	Applies the current configuration to the open dispatchers.
 	*/
 	readonly configure: () => void;
 	/**
-	The node that this one takes for the owner of a duty.
+	Finds the owner of a duty in this node's view, without the nodes in `skipped`.
 	*/
 	readonly findOwner: (duty: string, skipped: readonly string[]) => string | undefined;
 	/**
-	Duties under the configuration in force.
+	Index of the duties under the current configuration.
 	*/
 	readonly duties: () => DutyIndex;
 	readonly status: () => readonly PoolStatus[];
