--- a/dispatch/client/src/create-dispatch-client.ts
+++ b/dispatch/client/src/create-dispatch-client.ts
@@ -19,30 +19,30 @@
 import {createRemotePort} from './create-remote-port.ts';
 
 /**
-Refusals after which another dispatcher of the same pool is asked, if it has one.
+Refusals after which the request is sent to another dispatcher of the same pool, if there is one.
 */
-const retriedRefusals: ReadonlySet<string> = new Set(['ERR_VALVESADDLE_OVERLOADED', 'ERR_VALVESADDLE_NO_ENDPOINT']);
+const retryableRefusals: ReadonlySet<string> = new Set(['ERR_VALVESADDLE_OVERLOADED', 'ERR_VALVESADDLE_NO_ENDPOINT']);
 /**
-After so many redirects the asked node has to dispatch, whatever it takes for the owner.
+After this many redirects, the next node has to dispatch even if it isn't the owner in its own view.
 */
-const mostRedirects = 3;
+const maximumRedirects = 3;
 /**
-A request that waited so long at a dispatcher had been taken into its queue.
+A request that waited this long at a dispatcher is considered admitted to its queue.
 */
-const surelyQueuedMs = 100;
+const queuedAfterMs = 100;
 /**
-Grants named in one round of progress; bounds the bytes of a node with many streams.
+Bounds the size of the progress messages of a node with many streams.
 */
-const mostReports = 40;
+const maximumReportsPerRound = 40;
 
 type SettledReply = Exclude<AcquireReply, {readonly kind: 'moved'}>;
 
 /**
- Creates the client of a node. It finds the dispatcher of each pool; when that one is lost or the duty moves, it
- registers its open grants with the next one and asks there again, with the time waited so far.
+ Creates the dispatch client of a node. If the dispatcher of a pool is lost or its duty moves, the client registers its
+ open grants with the next one and sends waiting requests there, with the time waited so far.
 
  @example
- const grant = await client.acquire(ask, signal);
+ const grant = await client.acquire(parameters, signal);
  */
 export function createDispatchClient(options: DispatchClientOptions): DispatchClient {
 	const {node, host, network, membership, metrics} = options;
@@ -61,7 +61,7 @@
 	}
 
 	/**
-	Duty of a grant, by its endpoint: it may change with the configuration while the grant is open.
+	Finds the duty of a grant by its endpoint. It may change with the configuration while the grant is open.
 	*/
 	function findDuty({pool, open}: HeldGrant): string {
 		return host.duties().findDuty(pool, open.endpointId);
@@ -93,7 +93,7 @@
 		});
 	}
 
-	async function ask(owner: string, request: AcquireRequest): Promise<AcquireReply | undefined> {
+	async function callOwner(owner: string, request: AcquireRequest): Promise<AcquireReply | undefined> {
 		try {
 			applyOwner(request.duty, owner);
 			return await getPort(owner).acquire(request);
@@ -109,23 +109,23 @@
 	}
 
 	/**
-	Asks the dispatcher of a duty, wherever it is, until it grants or refuses.
+	Calls the dispatcher of a duty, on any node, until it grants or refuses.
 	*/
-	async function askDuty(duty: string, asked: AcquireParameters, signal: AbortSignal): Promise<SettledReply> {
-		const {arrivedAt, resumes, pool: _pool, ...rest} = asked;
+	async function acquireFromDuty(duty: string, parameters: AcquireParameters, signal: AbortSignal): Promise<SettledReply> {
+		const {arrivedAt, resumes, pool: _pool, ...rest} = parameters;
 		const skipped: string[] = [];
 		let redirects = 0;
 		let target: string | undefined;
 		let isAdmitted = resumes;
 		for (;;) {
 			if (signal.aborted) {
-				throw new ValvesaddleError('ERR_VALVESADDLE_CANCELLED', 'the caller went away while the request waited');
+				throw new ValvesaddleError('ERR_VALVESADDLE_CANCELLED', 'the caller disconnected while the request waited');
 			}
 
 			const owner = target ?? host.findOwner(duty, skipped) ?? node;
-			const askedAt = Date.now();
-			// eslint-disable-next-line no-await-in-loop -- each owner is asked after the one before failed
-			const reply = await askCancellably(owner, signal, {
+			const calledAt = Date.now();
+			// eslint-disable-next-line no-await-in-loop -- each owner is called after the previous one failed
+			const reply = await callOwnerCancellably(owner, signal, {
 				...rest,
 				duty,
 				node,
@@ -133,12 +133,12 @@
 				waitedMs: Date.now() - arrivedAt,
 				admitted: isAdmitted,
 				skipped,
-				forced: redirects >= mostRedirects,
+				forced: redirects >= maximumRedirects,
 			});
 			target = undefined;
 			if (reply === undefined) {
 				skipped.push(owner);
-				isAdmitted ||= Date.now() - askedAt >= surelyQueuedMs;
+				isAdmitted ||= Date.now() - calledAt >= queuedAfterMs;
 			} else if (reply.kind === 'moved') {
 				redirects++;
 				target = reply.owner;
@@ -149,28 +149,28 @@
 		}
 	}
 
-	async function acquire(asked: AcquireParameters, signal: AbortSignal): Promise<Result<Grant, ValvesaddleError>> {
+	async function acquire(parameters: AcquireParameters, signal: AbortSignal): Promise<Result<Grant, ValvesaddleError>> {
 		const duties = host.duties();
-		const duty = duties.chooseDuty(asked.pool, asked.session ?? asked.requestId);
-		const reply = await askDuty(duty, asked, signal);
-		const other = reply.kind === 'refused' && retriedRefusals.has(reply.code) ? duties.chooseOther(asked.pool, duty) : undefined;
-		return settle(other === undefined ? reply : await askDuty(other, asked, signal), asked);
+		const duty = duties.chooseDuty(parameters.pool, parameters.session ?? parameters.requestId);
+		const reply = await acquireFromDuty(duty, parameters, signal);
+		const other = reply.kind === 'refused' && retryableRefusals.has(reply.code) ? duties.chooseOther(parameters.pool, duty) : undefined;
+		return toResult(other === undefined ? reply : await acquireFromDuty(other, parameters, signal), parameters);
 	}
 
-	async function askCancellably(owner: string, signal: AbortSignal, request: AcquireRequest): Promise<AcquireReply | undefined> {
+	async function callOwnerCancellably(owner: string, signal: AbortSignal, request: AcquireRequest): Promise<AcquireReply | undefined> {
 		const cancel = (): void => {
 			getPort(owner).cancel({duty: request.duty, requestId: request.requestId});
 		};
 
 		signal.addEventListener('abort', cancel, {once: true});
 		try {
-			return await ask(owner, request);
+			return await callOwner(owner, request);
 		} finally {
 			signal.removeEventListener('abort', cancel);
 		}
 	}
 
-	function settle(reply: SettledReply, asked: AcquireParameters): Result<Grant, ValvesaddleError> {
+	function toResult(reply: SettledReply, parameters: AcquireParameters): Result<Grant, ValvesaddleError> {
 		if (reply.kind === 'refused') {
 			return err(new ValvesaddleError(reply.code, reply.message, {retryAfterMs: reply.retryAfterMs}));
 		}
@@ -178,9 +178,9 @@
 		const {grantId, endpointId} = reply.grant;
 		held.set(grantId, {
 			open: {
-				grantId, requestId: asked.requestId, endpointId, account: asked.account, className: asked.className, tokens: 0,
+				grantId, requestId: parameters.requestId, endpointId, account: parameters.account, className: parameters.className, tokens: 0,
 			},
-			pool: asked.pool,
+			pool: parameters.pool,
 			tokens: 0,
 			firstTokenMs: undefined,
 			isFirstTokenReported: false,
@@ -189,10 +189,10 @@
 	}
 
 	/**
-	Renews all grants; names only so many of them in one round, those that were not named for longest.
+	Renews all grants and reports the progress of a limited number per round, least recently reported first.
 	*/
 	function sendProgress(): void {
-		const due = held.values().take(mostReports).toArray();
+		const due = held.values().take(maximumReportsPerRound).toArray();
 		const duties = new Set(held.values().map(grant => findDuty(grant)));
 		for (const duty of duties) {
 			const owner = host.findOwner(duty, []) ?? node;
@@ -203,13 +203,13 @@
 	}
 
 	/**
-	What is new of a grant; the time of its first token is told once.
+	Creates the progress report of a grant; the time of its first token is reported once.
 	*/
 	function toReport(grant: HeldGrant): ProgressReport {
-		const {open: {grantId}, tokens, firstTokenMs, isFirstTokenReported: isReported} = grant;
+		const {open: {grantId}, tokens, firstTokenMs, isFirstTokenReported} = grant;
 		held.delete(grantId);
 		held.set(grantId, {...grant, isFirstTokenReported: firstTokenMs !== undefined});
-		return {grantId, tokens, firstTokenMs: isReported ? undefined : firstTokenMs};
+		return {grantId, tokens, firstTokenMs: isFirstTokenReported ? undefined : firstTokenMs};
 	}
 
 	function moveGrants(lost: string): void {
@@ -227,7 +227,7 @@
 	});
 
 	return {
-		acquire: (asked, signal) => new ResultAsync(acquire(asked, signal).catch((error: unknown) => err(toValvesaddleError(error)))),
+		acquire: (parameters, signal) => new ResultAsync(acquire(parameters, signal).catch((error: unknown) => err(toValvesaddleError(error)))),
 		progress(grantId, tokens, firstTokenMs) {
 			const grant = held.get(grantId);
 			if (grant !== undefined) {
--- a/dispatch/client/src/create-remote-port.ts
+++ b/dispatch/client/src/create-remote-port.ts
@@ -3,7 +3,7 @@
 import {acquireReplySchema, toAcquireMessage, type DispatchPort} from '@valvesaddle/messages';
 
 /**
- Creates the dispatcher's methods on another node.
+ Creates a port that calls the dispatchers on another node.
 
  @example
  const port = createRemotePort(network, 'b1');
--- a/dispatch/client/src/dispatch-client-options.ts
+++ b/dispatch/client/src/dispatch-client-options.ts
@@ -14,7 +14,7 @@
 	readonly network: PeerNetwork;
 	readonly membership: Membership;
 	/**
-	Pause between batches of progress reports, in milliseconds.
+	Interval between progress messages, in milliseconds.
 	*/
 	readonly progressMs: number;
 	readonly metrics: Metrics;
--- a/dispatch/client/src/dispatch-client.ts
+++ b/dispatch/client/src/dispatch-client.ts
@@ -4,15 +4,15 @@
 import type {AcquireParameters} from './acquire-parameters.ts';
 
 /**
-Gets grants for the requests of a node and gives them back.
+Acquires and releases grants for the requests of a node.
 */
 export type DispatchClient = {
 	/**
-	Waits for a grant; an abort takes the request back.
+	Waits for a grant; aborting the signal cancels the request.
 	*/
-	readonly acquire: (ask: AcquireParameters, signal: AbortSignal) => ResultAsync<Grant, ValvesaddleError>;
+	readonly acquire: (parameters: AcquireParameters, signal: AbortSignal) => ResultAsync<Grant, ValvesaddleError>;
 	/**
-	Notes tokens that came under a grant; sent on in batches.
+	Records the tokens received under a grant, for the next progress message.
 	*/
 	readonly progress: (grantId: string, tokens: number, firstTokenMs: number | undefined) => void;
 	readonly release: (report: Omit<ReleaseReport, 'duty'>) => void;
--- a/dispatch/client/src/held-grant.ts
+++ b/dispatch/client/src/held-grant.ts
@@ -9,7 +9,7 @@
 	readonly tokens: number;
 	readonly firstTokenMs: number | undefined;
 	/**
-	Whether the time of the first token was reported.
+	Whether the time of the first token has been reported.
 	*/
 	readonly isFirstTokenReported: boolean;
 };
--- a/dispatch/client/test/dispatch-client.test.ts
+++ b/dispatch/client/test/dispatch-client.test.ts
@@ -17,7 +17,7 @@
 import type {Configuration} from '@valvesaddle/types';
 import {createDispatchClient, type AcquireParameters, type DispatchClient} from '@valvesaddle/client';
 
-const unreachable = new ValvesaddleError('ERR_VALVESADDLE_PEER_UNREACHABLE', 'gone');
+const unreachable = new ValvesaddleError('ERR_VALVESADDLE_PEER_UNREACHABLE', 'unreachable');
 const granted: AcquireReply = {kind: 'granted', grant: {grantId: 'g1', endpointId: 'e1', url: 'http://e1'}};
 
 const configuration: Configuration = {
@@ -41,7 +41,7 @@
 type Answer = (request: AcquireRequest) => AcquireReply | 'unreachable' | 'never';
 
 /**
-A client of node n1 whose peers answer by a table, with the owners b, c, n1 in rank order.
+Creates a client of node n1 with the given answers of its peers. The owners are b, c, n1 in rank order.
 */
 function createClient(answers: Readonly<Record<string, Answer>>) {
 	const calls: Call[] = [];
@@ -63,7 +63,7 @@
 			calls.push({node, method, parameters});
 		},
 		broadcast() {
-			// Not used by the client.
+			// Not used.
 		},
 		isReady: () => true,
 		connected: () => [],
@@ -83,16 +83,16 @@
 			calls.push({node: 'n1', method: 'release', parameters: undefined});
 		},
 		progress() {
-			// Not looked at.
+			// Not used.
 		},
 		register(request) {
 			calls.push({node: 'n1', method: 'dispatch.register', parameters: request});
 		},
 		dropNode() {
-			// Not looked at.
+			// Not used.
 		},
 		configure() {
-			// Not looked at.
+			// Not used.
 		},
 		duties: () => createDutyIndex(configuration),
 		findOwner: (_duty, skipped) => ['b', 'c', 'n1'].find(node => !skipped.includes(node)),
@@ -114,24 +114,24 @@
 	};
 }
 
-function createAsk(requestId: string): AcquireParameters {
+function createParameters(requestId: string): AcquireParameters {
 	return {
 		requestId, pool: 'drafting', account: 'sawmill', className: 'gate', arrivedAt: Date.now(), resumes: false, promptTokens: 1, tokensSoFar: 0, session: undefined, repeatable: true, avoid: [], trace: {},
 	};
 }
 
 async function acquire(client: DispatchClient, requestId = 'n1_1', signal = new AbortController().signal): Promise<string> {
-	const result = await client.acquire(createAsk(requestId), signal);
+	const result = await client.acquire(createParameters(requestId), signal);
 	return result.isOk() ? result.value.endpointId : result.error.code;
 }
 
-test('the first owner in rank order is asked', async t => {
+test('the first owner in rank order is called', async t => {
 	const {client, calls} = createClient({b: () => granted});
 	t.equal(await acquire(client), 'e1');
 	t.same(calls.map(({node}) => node), ['b']);
 });
 
-test('an owner that cannot be reached is passed over and named to the next', async t => {
+test('an unreachable owner is skipped and listed in the call to the next owner', async t => {
 	const {client, calls, suspects} = createClient({c: () => granted});
 	t.equal(await acquire(client), 'e1');
 	t.same(calls.map(({node}) => node), ['b', 'c']);
@@ -139,12 +139,12 @@
 	t.same(suspects, ['b']);
 });
 
-test('a node that reaches nobody dispatches for itself', async t => {
+test('a node that reaches no other node dispatches its own requests', async t => {
 	const {client} = createClient({n1: () => granted});
 	t.equal(await acquire(client), 'e1');
 });
 
-test('a redirect is followed, and a circle of redirects ends with a node that must dispatch', async t => {
+test('redirects are followed, and a redirect loop ends with a forced call', async t => {
 	const {client, calls} = createClient({
 		b: request => request.forced ? granted : {kind: 'moved', owner: 'c', admitted: false},
 		c: request => request.forced ? granted : {kind: 'moved', owner: 'b', admitted: false},
@@ -153,7 +153,7 @@
 	t.same(calls.map(({node}) => node), ['b', 'c', 'b', 'c']);
 });
 
-test('a request that was in a queue keeps its place when the duty moves', async t => {
+test('a queued request stays admitted when the duty moves', async t => {
 	const {client, calls} = createClient({
 		b: () => ({kind: 'moved', owner: 'c', admitted: true}),
 		c: () => granted,
@@ -162,7 +162,7 @@
 	t.equal((calls[1]?.parameters as AcquireRequest).admitted, true);
 });
 
-test('open grants are registered with the next owner before anything is asked of it', async t => {
+test('open grants are registered with the next owner before any request is sent to it', async t => {
 	let isLost = false;
 	const {client, calls} = createClient({b: () => isLost ? 'unreachable' : granted, c: () => ({...granted, grant: {...granted.grant, grantId: 'g2'}})});
 	await acquire(client, 'n1_1');
@@ -174,35 +174,35 @@
 	t.same(registered.grants.map(({grantId}) => grantId), ['g1']);
 });
 
-test('when an owner is lost its grants are registered with the next one at once', async t => {
+test('when an owner is lost, its grants are immediately registered with the next owner', async t => {
 	const {client, calls, events} = createClient({b: () => granted});
 	await acquire(client);
 	await events.emit('lost', {node: 'b'});
 	t.match(calls.at(-1), {node: 'c', method: 'dispatch.register'});
 });
 
-test('a request that one dispatcher of a split pool refuses for overload is asked of another', async t => {
+test('a request that one dispatcher of a split pool refuses because of overload is sent to another', async t => {
 	const refused: AcquireReply = {
 		kind: 'refused', code: 'ERR_VALVESADDLE_OVERLOADED', message: 'full', retryAfterMs: 1000,
 	};
-	const asked = new Set<string>();
+	const duties = new Set<string>();
 	const {client} = createClient({
 		b(request) {
-			asked.add(request.duty);
-			return asked.size === 1 ? refused : granted;
+			duties.add(request.duty);
+			return duties.size === 1 ? refused : granted;
 		},
 	});
-	const result = await client.acquire({...createAsk('n1_1'), pool: 'split'}, new AbortController().signal);
+	const result = await client.acquire({...createParameters('n1_1'), pool: 'split'}, new AbortController().signal);
 	t.ok(result.isOk());
-	t.same([...asked].toSorted(), ['split#0', 'split#1']);
+	t.same([...duties].toSorted(), ['split#0', 'split#1']);
 });
 
-test('a request that its caller gave up is taken back', async t => {
+test('a request is cancelled when its caller disconnects', async t => {
 	const abort = new AbortController();
 	const {client, calls, events} = createClient({b: () => 'never', c: () => granted});
-	const asking = acquire(client, 'n1_1', abort.signal);
+	const acquiring = acquire(client, 'n1_1', abort.signal);
 	abort.abort();
 	t.ok(calls.some(({method}) => method === 'dispatch.cancel'));
 	await events.emit('lost', {node: 'b'});
-	t.equal(await asking, 'ERR_VALVESADDLE_CANCELLED');
+	t.equal(await acquiring, 'ERR_VALVESADDLE_CANCELLED');
 });
