--- a/dispatch/policy/src/find-outliers.ts
+++ b/dispatch/policy/src/find-outliers.ts
@@ -16,7 +16,7 @@
  ejected share of the pool.
 
  @example
- findStragglers(endpoints); // ['engine-7']
+ findOutliers(endpoints); // ['engine-7']
  */
 export function findOutliers(endpoints: readonly EndpointView[]): readonly string[] {
 	const inUse = endpoints.filter(({state}) => state !== 'leaving');
