--- a/dispatch/policy/src/has-slot.ts
+++ b/dispatch/policy/src/has-slot.ts
@@ -29,5 +29,7 @@
 		return false;
 	}
 
-	return endpoint.state === 'probing' ? requirements.mayProbe && endpoint.inFlight === 0 : endpoint.inFlight < endpoint.limit * hardLimitFactor && slotRules[requirements.mode](endpoint, requirements);
+	return endpoint.state === 'probing'
+		? requirements.mayProbe && endpoint.inFlight === 0
+		: endpoint.inFlight < endpoint.limit * hardLimitFactor && slotRules[requirements.mode](endpoint, requirements);
 }
