--- a/dispatch/pool/src/waiting.ts
+++ b/dispatch/pool/src/waiting-request.ts
@@ -1,9 +1,9 @@
 import type {AcquireReply, AcquireRequest} from '@valvesaddle/messages';
 
 /**
-A request that waits for its grant.
+A request that waits for a grant.
 */
-export type Waiting = {
+export type WaitingRequest = {
 	readonly request: AcquireRequest;
 	readonly settle: (reply: AcquireReply) => void;
 };
--- /dev/null
+++ b/dispatch/queue/src/queued-request.ts
@@ -0,0 +1,13 @@
+/**
+A waiting request.
+*/
+export type QueuedRequest<Value> = {
+	readonly requestId: string;
+	readonly className: string;
+	readonly account: string;
+	/**
+	Time of the first arrival at any dispatcher, in milliseconds since the epoch of this process's clock.
+	*/
+	readonly arrivedAt: number;
+	readonly value: Value;
+};
