--- a/dispatch/alone/src/create-uncoordinated-client.ts
+++ b/dispatch/alone/src/create-uncoordinated-client.ts
@@ -51,7 +51,7 @@
 			const preferred = inPool.filter(({id}) => !parameters.avoid.includes(id));
 			const endpoint = pickEndpoint(preferred.length > 0 ? preferred : inPool);
 			if (endpoint === undefined) {
-				return errAsync(new ValvesaddleError('ERR_VALVESADDLE_NO_ENDPOINT', `no endpoint of pool "${parameters.pool}" accepts requests`, {retryAfterMs: 1000}));
+				return errAsync(new ValvesaddleError('ERR_VALVESADDLE_NO_ENDPOINT', `no endpoint of pool "${parameters.pool}" takes work`, {retryAfterMs: 1000}));
 			}
 
 			const grantId = `${parameters.requestId}#${++grantCount}`;
--- a/dispatch/client/src/create-dispatch-client.ts
+++ b/dispatch/client/src/create-dispatch-client.ts
@@ -119,7 +119,7 @@
 		let isAdmitted = resumes;
 		for (;;) {
 			if (signal.aborted) {
-				throw new ValvesaddleError('ERR_VALVESADDLE_CANCELLED', 'the caller disconnected while the request waited');
+				throw new ValvesaddleError('ERR_VALVESADDLE_CANCELLED', 'the caller went away while the request waited');
 			}
 
 			const owner = target ?? host.findOwner(duty, skipped) ?? node;
--- a/dispatch/pool/src/create-pool-dispatcher.ts
+++ b/dispatch/pool/src/create-pool-dispatcher.ts
@@ -132,7 +132,7 @@
 		metrics.increment('dispatch.refused', 1, {class: request.className});
 		return Number.isFinite(waitMs)
 			? toRefusal('ERR_VALVESADDLE_OVERLOADED', `the predicted wait is ${Math.round(waitMs)} ms`, waitMs - requestClass.maximumWaitMs)
-			: toRefusal('ERR_VALVESADDLE_NO_ENDPOINT', `no endpoint of pool "${options.pool}" accepts requests`, 0);
+			: toRefusal('ERR_VALVESADDLE_NO_ENDPOINT', `no endpoint of pool "${options.pool}" takes work`, 0);
 	}
 
 	function grantWaiting(): void {
@@ -260,7 +260,7 @@
 	function expireWaiting(now: number): void {
 		for (const {value: {request, settle}} of queue.takeExpired(now)) {
 			metrics.increment('dispatch.wait-expired', 1, {class: request.className});
-			settle(toRefusal('ERR_VALVESADDLE_WAIT_EXPIRED', `no slot of pool "${options.pool}" became free in time`, stats.holdMs(request.className)));
+			settle(toRefusal('ERR_VALVESADDLE_WAIT_EXPIRED', `no slot of pool "${options.pool}" came free in time`, stats.holdMs(request.className)));
 		}
 	}
 
@@ -294,7 +294,7 @@
 			return admit(request) ?? addToQueue(request);
 		},
 		cancel(requestId) {
-			removeRequest(requestId, toRefusal('ERR_VALVESADDLE_CANCELLED', 'the request was cancelled', 0));
+			removeRequest(requestId, toRefusal('ERR_VALVESADDLE_CANCELLED', 'the request was taken back', 0));
 			grantWaiting();
 		},
 		release,
--- a/outcome/claims/src/create-claim-client.ts
+++ b/outcome/claims/src/create-claim-client.ts
@@ -52,7 +52,7 @@
 		const result = await options.network.call(owner, `claims.${method}`, request);
 		return result.andThen(value => {
 			const response = claimResponseSchema.safeParse(value);
-			return response.success ? ok(response.data) : err(new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', 'the response to a claim request has an unknown format'));
+			return response.success ? ok(response.data) : err(new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', 'the answer to a claim has an unknown form'));
 		});
 	}
 
@@ -68,7 +68,7 @@
 			options.membership.suspect(owner);
 		}
 
-		return err(new ValvesaddleError('ERR_VALVESADDLE_CLAIMS_UNAVAILABLE', 'no owner of the claim shard could be reached'));
+		return err(new ValvesaddleError('ERR_VALVESADDLE_CLAIMS_UNAVAILABLE', 'no node that writes claims could be reached'));
 	}
 
 	const toResult = (method: Method) => (request: ClaimRequest): ResultAsync<ClaimResponse, ValvesaddleError> =>
--- a/outcome/claims/src/create-claim-shard.ts
+++ b/outcome/claims/src/create-claim-shard.ts
@@ -49,7 +49,7 @@
 			}
 		}
 
-		throw new ValvesaddleError('ERR_VALVESADDLE_CLAIMS_UNAVAILABLE', `the claim could not be written in ${maximumAttempts} attempts`);
+		throw new ValvesaddleError('ERR_VALVESADDLE_CLAIMS_UNAVAILABLE', `the claim could not be written in ${maximumAttempts} tries`);
 	}
 
 	async function settleBatch(batch: readonly PendingClaim[]): Promise<void> {
--- a/outcome/claims/src/create-claim-storage.ts
+++ b/outcome/claims/src/create-claim-storage.ts
@@ -63,7 +63,7 @@
 	try {
 		return claimSegmentSchema.parse(JSON.parse(text));
 	} catch (error) {
-		throw new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', 'a stored claim segment has an unknown format', {cause: error});
+		throw new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', 'a stored claim segment has an unknown form', {cause: error});
 	}
 }
 
--- a/outcome/execution/src/run-engine-attempt.ts
+++ b/outcome/execution/src/run-engine-attempt.ts
@@ -28,7 +28,7 @@
 	try {
 		return await readStream(attempt, detector, work, {engines, dispatch});
 	} catch (error) {
-		throw detector.isStalled() ? new ValvesaddleError('ERR_VALVESADDLE_ENDPOINT_FAILED', 'the engine sent no token before the stall timeout', {cause: error}) : error;
+		throw detector.isStalled() ? new ValvesaddleError('ERR_VALVESADDLE_ENDPOINT_FAILED', 'the engine was silent for too long', {cause: error}) : error;
 	} finally {
 		detector.close();
 	}
--- a/outcome/state/src/advance-outcome.ts
+++ b/outcome/state/src/advance-outcome.ts
@@ -16,7 +16,7 @@
 export function advanceOutcome(outcome: Outcome, event: OutcomeEvent): Outcome {
 	const state = outcomeTransitions[outcome.state][event];
 	if (state === undefined) {
-		throw new ValvesaddleError('ERR_VALVESADDLE_INTERNAL', `a request in the state ${outcome.state} does not allow the event ${event}`);
+		throw new ValvesaddleError('ERR_VALVESADDLE_INTERNAL', `a request that is ${outcome.state} cannot take the step ${event}`);
 	}
 
 	return state === 'refused' && outcome.ran !== 'no' ? {state: 'failed', ran: outcome.ran} : {state, ran: ranAfter[event](outcome)};
