--- a/node/gateway/src/format-load-update.ts
+++ b/node/gateway/src/format-load-update.ts
@@ -15,7 +15,7 @@
 export function formatLoadUpdate({nodes, loads, placements}: OriginLoadUpdate): LoadUpdateMessage {
 	return {
 		nodes,
-		loads: loads.map(([endpoint, {open, pendingPrefill: pendingPrefill, sensitivity, observers: observers, stalledObservers: stalledObservers, prefilledTokens: prefilledTokens, prefillMs: prefillMs}]) => [
+		loads: loads.map(([endpoint, {open, pendingPrefill, sensitivity, observers, stalledObservers, prefilledTokens, prefillMs}]) => [
 			endpoint,
 			open,
 			pendingPrefill.map(tokens => Math.round(tokens)),
--- a/node/gateway/src/parse-load-update.ts
+++ b/node/gateway/src/parse-load-update.ts
@@ -31,7 +31,7 @@
 	if (typeof endpoint === 'string' && isAmount(open) && isPendingPrefill(pendingPrefill) && isAmount(sensitivity)
 		&& isAmount(observers) && isAmount(stalledObservers) && isAmount(prefilledTokens) && isAmount(prefillMs)) {
 		return [endpoint, {
-			open, pendingPrefill: pendingPrefill, sensitivity, observers: observers, stalledObservers: stalledObservers, prefilledTokens: prefilledTokens, prefillMs: prefillMs,
+			open, pendingPrefill, sensitivity, observers, stalledObservers, prefilledTokens, prefillMs,
 		}];
 	}
 
