--- a/emulator/beliefs/src/change-record.ts
+++ b/emulator/beliefs/src/change-record.ts
@@ -1,5 +1,5 @@
-import type {SpreadingNode} from './spreading-node.ts';
-import type {SpreadingReport} from './spreading-report.ts';
+import type {PropagationNode} from './propagation-node.ts';
+import type {PropagationReport} from './propagation-report.ts';
 import type {WrittenChange} from './written-change.ts';
 
 /**
@@ -9,7 +9,7 @@
 	/**
 	From now on looks at a node whenever its beliefs change.
 	*/
-	readonly addNode: (node: SpreadingNode) => void;
+	readonly addNode: (node: PropagationNode) => void;
 	readonly addChange: (change: WrittenChange) => void;
-	readonly summarize: (nodes: readonly SpreadingNode[]) => SpreadingReport['changes'];
+	readonly summarize: (nodes: readonly PropagationNode[]) => PropagationReport['changes'];
 };
--- a/emulator/beliefs/src/create-change-record.ts
+++ b/emulator/beliefs/src/create-change-record.ts
@@ -1,5 +1,5 @@
 import type {ChangeRecord} from './change-record.ts';
-import type {SpreadingNode} from './spreading-node.ts';
+import type {PropagationNode} from './propagation-node.ts';
 import type {WrittenChange} from './written-change.ts';
 
 type ChangeRecordOptions = {
@@ -19,13 +19,13 @@
  record.summarize(nodes)[0].lastAtMs; // 10_240
  */
 export function createChangeRecord({now}: ChangeRecordOptions): ChangeRecord {
-	const startedAtMs = new Map<SpreadingNode, number>();
+	const startedAtMs = new Map<PropagationNode, number>();
 	const written = new Map<WrittenChange, Map<string, number>>();
 
-	function checkNode({self, view}: SpreadingNode): void {
-		for (const [change, believedAtMs] of written) {
-			if (!believedAtMs.has(self.id) && change.isBelieved(view)) {
-				believedAtMs.set(self.id, now());
+	function checkNode({self, view}: PropagationNode): void {
+		for (const [change, appliedAtMs] of written) {
+			if (!appliedAtMs.has(self.id) && change.isApplied(view)) {
+				appliedAtMs.set(self.id, now());
 			}
 		}
 	}
@@ -43,13 +43,13 @@
 				checkNode(node);
 			}
 		},
-		summarize: living => [...written].map(([{kind, subject, writtenAtMs}, believedAtMs]) => ({
+		summarize: living => [...written].map(([{kind, subject, writtenAtMs}, appliedAtMs]) => ({
 			kind,
 			subject,
 			writtenAtMs,
-			believedAtMs,
-			lastAtMs: Math.max(writtenAtMs, ...living.filter(node => startedAtMs.get(node)! <= writtenAtMs).map(({self}) => believedAtMs.get(self.id) ?? 0)),
-			missing: living.map(({self}) => self.id).filter(id => !believedAtMs.has(id)),
+			appliedAtMs,
+			lastAtMs: Math.max(writtenAtMs, ...living.filter(node => startedAtMs.get(node)! <= writtenAtMs).map(({self}) => appliedAtMs.get(self.id) ?? 0)),
+			missing: living.map(({self}) => self.id).filter(id => !appliedAtMs.has(id)),
 		})),
 	};
 }
--- a/emulator/beliefs/src/create-usual-settings.ts
+++ b/emulator/beliefs/src/create-default-settings.ts
@@ -1,10 +1,10 @@
 import {parseGatewaySettings, type GatewaySettings} from '@valvesaddle/settings';
 
-type UsualSettingsOptions = {
+type DefaultSettingsOptions = {
 	/**
 	Between two messages on work, in milliseconds; no belief waits for them, and they take the longest to emulate.
 	*/
-	readonly newsMs: number;
+	readonly loadUpdateMs: number;
 };
 
 /**
@@ -13,7 +13,7 @@
  @example
  createUsualSettings({newsMs: 400}).peers.heartbeat_ms; // 250
  */
-export function createUsualSettings({newsMs}: UsualSettingsOptions): Pick<GatewaySettings, 'store' | 'peers'> {
+export function createDefaultSettings({loadUpdateMs: newsMs}: DefaultSettingsOptions): Pick<GatewaySettings, 'store' | 'peers'> {
 	return parseGatewaySettings(`
 		[node]
 		name = "n"
--- a/emulator/beliefs/src/create-emulated-news.ts
+++ b/emulator/beliefs/src/create-emulated-load-updates.ts
@@ -1,8 +1,8 @@
 import type {EndpointLoad, LoadNews, Placement} from '@valvesaddle/selection';
-import type {EmulatedWork} from './emulated-work.ts';
+import type {LoadUpdateSize} from './load-update-size.ts';
 
-type EmulatedNewsOptions = {
-	readonly work: EmulatedWork;
+type EmulatedLoadUpdatesOptions = {
+	readonly work: LoadUpdateSize;
 	readonly endpoints: number;
 	readonly random: () => number;
 };
@@ -24,7 +24,7 @@
  const takeNews = createEmulatedNews({work: {loads: 4, placements: 1}, endpoints: 60, random});
  takeNews().loads.length; // 4
  */
-export function createEmulatedNews({work, endpoints, random}: EmulatedNewsOptions): () => LoadNews {
+export function createEmulatedLoadUpdates({work, endpoints, random}: EmulatedLoadUpdatesOptions): () => LoadNews {
 	const draw = (most: number): number => Math.floor(most * random());
 
 	function drawEndpoint(): string {
--- a/emulator/beliefs/src/create-emulated-store.ts
+++ b/emulator/beliefs/src/create-emulated-store.ts
@@ -7,7 +7,7 @@
 	GatewayNode,
 } from '@valvesaddle/gateway-types';
 import type {EmulatedStore} from './emulated-store.ts';
-import type {StoreTreatment} from './store-treatment.ts';
+import type {StoreResponseMode} from './store-response-mode.ts';
 
 type EmulatedStoreOptions = {
 	/**
@@ -71,7 +71,7 @@
 	const items = new Map<string, Item>();
 	const leases = new Map<string, Lease>();
 	const waiting = new Set<Watch>();
-	const treatments = new Map<string, StoreTreatment>();
+	const treatments = new Map<string, StoreResponseMode>();
 	const ended = new Set<string>();
 	const calls: Record<string, number> = {};
 	let history: ClusterChange[] = [];
@@ -83,7 +83,7 @@
 	let lastLease = 0;
 	let isQuiet = false;
 	let addedMs = 0;
-	let watchesDeaf = 0;
+	let watchesMissed = 0;
 
 	setInterval(expireLeases, sweepMs);
 
@@ -197,7 +197,7 @@
 				});
 			},
 		};
-		const treatmentHandlers: Readonly<Record<StoreTreatment, () => void>> = {
+		const treatmentHandlers: Readonly<Record<StoreResponseMode, () => void>> = {
 			served() {
 				handle(answer);
 			},
@@ -264,7 +264,7 @@
 					return;
 				}
 
-				watchesDeaf += listAfter(after).length > 0 ? 1 : 0;
+				watchesMissed += listAfter(after).length > 0 ? 1 : 0;
 				answer.send({revision, changes: []});
 			}, waitMs);
 		}, waitMs);
@@ -330,10 +330,10 @@
 			historyStart = revision;
 			failWatches(() => true);
 		},
-		setSlowness(milliseconds) {
+		setAddedLatency(milliseconds) {
 			addedMs = milliseconds;
 		},
-		setTreatment(treatment, nodes) {
+		setResponseMode(treatment, nodes) {
 			for (const node of nodes) {
 				treatments.set(node, treatment);
 			}
@@ -346,7 +346,7 @@
 			ended.add(node);
 		},
 		calls: () => calls,
-		countDeafWatches: () => watchesDeaf,
+		countMissedWatches: () => watchesMissed,
 	};
 }
 
--- a/emulator/beliefs/src/create-link-hub.ts
+++ b/emulator/beliefs/src/create-link-hub.ts
@@ -148,7 +148,7 @@
 			stations.get(node)!.end = how;
 		},
 		endLinks,
-		setCut(between, isOn) {
+		setPartition(between, isOn) {
 			if (isOn) {
 				cuts.add(toCutKey(between));
 			} else {
--- a/emulator/beliefs/src/create-spreading-node.ts
+++ b/emulator/beliefs/src/create-propagation-node.ts
@@ -8,9 +8,9 @@
 import type {GatewaySettings} from '@valvesaddle/settings';
 import {createEmulatedNetwork} from './create-emulated-network.ts';
 import type {LinkHub} from './link-hub.ts';
-import type {SpreadingNode} from './spreading-node.ts';
+import type {PropagationNode} from './propagation-node.ts';
 
-type SpreadingNodeOptions = {
+type PropagationNodeOptions = {
 	readonly self: GatewayNode;
 	readonly store: ClusterStore;
 	readonly hub: LinkHub;
@@ -35,7 +35,7 @@
  const node = createSpreadingNode({self, store, hub, settings, logger, isStateUnanswered: () => false});
  node.start();
  */
-export function createSpreadingNode({self, store, hub, settings, logger, takeNews, isStateUnanswered}: SpreadingNodeOptions): SpreadingNode {
+export function createPropagationNode({self, store, hub, settings, logger, takeNews, isStateUnanswered}: PropagationNodeOptions): PropagationNode {
 	const metrics = createMetrics();
 	const view = createClusterView({logger, metrics});
 	const follower = createStoreFollower({
--- a/emulator/beliefs/src/emulated-store.ts
+++ b/emulator/beliefs/src/emulated-store.ts
@@ -4,7 +4,7 @@
 	GatewayNode,
 	ServingEndpoint,
 } from '@valvesaddle/gateway-types';
-import type {StoreTreatment} from './store-treatment.ts';
+import type {StoreResponseMode} from './store-response-mode.ts';
 
 /**
 The metadata store, with its faults.
@@ -24,11 +24,11 @@
 	/**
 	Time that is added to each answer, in milliseconds.
 	*/
-	readonly setSlowness: (addedMs: number) => void;
+	readonly setAddedLatency: (addedMs: number) => void;
 	/**
 	Treats the calls of some nodes in a way from now on; `reset` also cuts their watches that wait.
 	*/
-	readonly setTreatment: (treatment: StoreTreatment, nodes: ReadonlySet<string>) => void;
+	readonly setResponseMode: (treatment: StoreResponseMode, nodes: ReadonlySet<string>) => void;
 	/**
 	A node that is no more hears no answer.
 	*/
@@ -40,5 +40,5 @@
 	/**
 	Watches so far that came back empty although something had changed.
 	*/
-	readonly countDeafWatches: () => number;
+	readonly countMissedWatches: () => number;
 };
--- a/emulator/beliefs/src/link-hub.ts
+++ b/emulator/beliefs/src/link-hub.ts
@@ -18,5 +18,5 @@
 	Breaks all links of a node that are open now, or makes them silent.
 	*/
 	readonly endLinks: (node: string, how: 'reset' | 'silence') => void;
-	readonly setCut: (between: readonly [string, string], isCut: boolean) => void;
+	readonly setPartition: (between: readonly [string, string], isCut: boolean) => void;
 };
--- a/emulator/beliefs/src/list-role.ts
+++ b/emulator/beliefs/src/list-by-role.ts
@@ -1,9 +1,9 @@
 import type {GatewayNode} from '@valvesaddle/gateway-types';
 import {planOverlay} from '@valvesaddle/overlay';
-import type {SpreadingTarget} from './spreading-target.ts';
+import type {PropagationTarget} from './propagation-target.ts';
 
-type RoleQuestion = {
-	readonly role: SpreadingTarget['role'];
+type RoleOptions = {
+	readonly role: PropagationTarget['role'];
 	readonly meshNodes: number;
 };
 
@@ -13,9 +13,9 @@
  @example
  listRole(nodes, {role: 'follower', meshNodes: 16}); // ['n-3.5e1f', 'n-8.07ca']
  */
-export function listRole(nodes: readonly GatewayNode[], {role, meshNodes}: RoleQuestion): readonly string[] {
+export function listByRole(nodes: readonly GatewayNode[], {role, meshNodes}: RoleOptions): readonly string[] {
 	const {relays, followers} = planOverlay(nodes, {meshNodes});
-	const roleHandlers: Readonly<Record<SpreadingTarget['role'], () => readonly string[]>> = {
+	const roleHandlers: Readonly<Record<PropagationTarget['role'], () => readonly string[]>> = {
 		follower: () => [...followers],
 		relay: () => relays.keys().filter(id => !followers.has(id)).toArray(),
 		member: () => nodes.map(({id}) => id).filter(id => !relays.has(id)),
--- a/emulator/beliefs/src/emulated-work.ts
+++ b/emulator/beliefs/src/load-update-size.ts
@@ -1,7 +1,7 @@
 /**
 What a node has to tell of with each message on its work.
 */
-export type EmulatedWork = {
+export type LoadUpdateSize = {
 	/**
 	Endpoints at which its work has changed.
 	*/
--- a/emulator/beliefs/src/main.ts
+++ b/emulator/beliefs/src/main.ts
@@ -4,14 +4,14 @@
  */
 import process from 'node:process';
 import {parseArgs} from 'node:util';
-import {createUsualSettings} from './create-usual-settings.ts';
-import {runSpreading} from './run-spreading.ts';
-import type {SpreadingChange} from './spreading-change.ts';
-import type {SpreadingFault} from './spreading-fault.ts';
+import {createDefaultSettings} from './create-default-settings.ts';
+import {runPropagation} from './run-propagation.ts';
+import type {PropagationChange} from './propagation-change.ts';
+import type {PropagationFault} from './propagation-fault.ts';
 
 type Case = {
 	readonly name: string;
-	readonly faults: readonly SpreadingFault[];
+	readonly faults: readonly PropagationFault[];
 	/**
 	Waits count from this time at the earliest, in milliseconds.
 	*/
@@ -33,7 +33,7 @@
 const links = {
 	nearMs: 0.5, farMs: 12, jitterShare: 0.3, lossShare: 0,
 };
-const changes: readonly SpreadingChange[] = [
+const changes: readonly PropagationChange[] = [
 	{kind: 'configuration', atMs: formedMs},
 	{kind: 'configuration', atMs: faultAtMs + 600},
 	{kind: 'endpoint-draining', atMs: faultAtMs + 650, endpoint: 3},
@@ -101,7 +101,7 @@
 		fault: {type: 'string', default: ''},
 	},
 });
-const settings = createUsualSettings({newsMs: 400});
+const settings = createDefaultSettings({loadUpdateMs: 400});
 const chosen = cases.filter(({name}) => name.includes(fault));
 
 for (const {name, faults, fromMs = 0, lossShare = 0} of chosen) {
@@ -109,7 +109,7 @@
 	const totals = {states: 0, bytes: 0};
 	for (let seed = 1; seed <= Number(seeds); seed++) {
 		// eslint-disable-next-line no-await-in-loop -- the clock of the runtime is paused for one run at a time
-		const report = await runSpreading({
+		const report = await runPropagation({
 			nodes: Number(nodes),
 			dataCentres: Array.from({length: Number(dataCentres)}, (_value, index) => `dc-${index}`),
 			endpoints: Number(endpoints),
@@ -120,7 +120,7 @@
 			faults,
 			settings,
 		});
-		totals.states += report.statesAsked;
+		totals.states += report.statesFromPeers;
 		totals.bytes += report.bytesSent;
 		for (const {kind, subject, writtenAtMs, lastAtMs, missing} of report.changes) {
 			const key = `${kind} ${subject}`;
--- a/emulator/beliefs/src/spreading-fault.ts
+++ b/emulator/beliefs/src/propagation-fault.ts
@@ -1,4 +1,4 @@
-import type {SpreadingTarget} from './spreading-target.ts';
+import type {PropagationTarget} from './propagation-target.ts';
 
 /**
 What goes wrong, in milliseconds after the start:
@@ -14,13 +14,13 @@
 - `links-cut`: nothing passes between two data centres meanwhile.
 - `state-unanswered`: a node answers no call for its whole state, while its links live.
 */
-export type SpreadingFault =
+export type PropagationFault =
 	| {readonly kind: 'store-quiet'; readonly atMs: number; readonly forMs: number}
 	| {readonly kind: 'store-down'; readonly atMs: number; readonly forMs: number; readonly how: 'reset' | 'silence'}
 	| {readonly kind: 'store-slow'; readonly atMs: number; readonly forMs: number; readonly addedMs: number}
 	| {readonly kind: 'store-refuses'; readonly atMs: number; readonly forMs: number; readonly how: 'reset' | 'silence' | 'status'; readonly share: number | 'followers'}
-	| {readonly kind: 'node-lost'; readonly atMs: number; readonly how: 'reset' | 'silence'; readonly target: SpreadingTarget}
-	| {readonly kind: 'node-restarted'; readonly atMs: number; readonly forMs: number; readonly target: SpreadingTarget}
-	| {readonly kind: 'links-lost'; readonly atMs: number; readonly how: 'reset' | 'silence'; readonly target: SpreadingTarget}
+	| {readonly kind: 'node-lost'; readonly atMs: number; readonly how: 'reset' | 'silence'; readonly target: PropagationTarget}
+	| {readonly kind: 'node-restarted'; readonly atMs: number; readonly forMs: number; readonly target: PropagationTarget}
+	| {readonly kind: 'links-lost'; readonly atMs: number; readonly how: 'reset' | 'silence'; readonly target: PropagationTarget}
 	| {readonly kind: 'links-cut'; readonly atMs: number; readonly forMs: number; readonly between: readonly [string, string]}
-	| {readonly kind: 'state-unanswered'; readonly atMs: number; readonly target: SpreadingTarget};
+	| {readonly kind: 'state-unanswered'; readonly atMs: number; readonly target: PropagationTarget};
--- a/emulator/beliefs/src/spreading-node.ts
+++ b/emulator/beliefs/src/propagation-node.ts
@@ -5,7 +5,7 @@
 /**
 An emulated node.
 */
-export type SpreadingNode = {
+export type PropagationNode = {
 	readonly self: GatewayNode;
 	readonly view: ClusterView;
 	readonly metrics: Metrics;
--- a/emulator/beliefs/src/spreading-options.ts
+++ b/emulator/beliefs/src/propagation-options.ts
@@ -1,13 +1,13 @@
 import type {GatewaySettings} from '@valvesaddle/settings';
-import type {EmulatedWork} from './emulated-work.ts';
+import type {LoadUpdateSize} from './load-update-size.ts';
 import type {LinkTraits} from './link-traits.ts';
-import type {SpreadingChange} from './spreading-change.ts';
-import type {SpreadingFault} from './spreading-fault.ts';
+import type {PropagationChange} from './propagation-change.ts';
+import type {PropagationFault} from './propagation-fault.ts';
 
 /**
 Options of `runSpreading`. Times are in milliseconds.
 */
-export type SpreadingOptions = {
+export type PropagationOptions = {
 	readonly nodes: number;
 	readonly dataCentres: readonly string[];
 	readonly endpoints: number;
@@ -17,13 +17,13 @@
 	/**
 	In the order of their times.
 	*/
-	readonly changes: readonly SpreadingChange[];
-	readonly faults: readonly SpreadingFault[];
+	readonly changes: readonly PropagationChange[];
+	readonly faults: readonly PropagationFault[];
 	readonly settings: Pick<GatewaySettings, 'store' | 'peers'>;
 	/**
 	Work that each node has to tell of with each message, as if it sent requests; none where it is not given.
 	*/
-	readonly work?: EmulatedWork;
+	readonly loadUpdates?: LoadUpdateSize;
 	/**
 	Whether the nodes' lines are kept for the report.
 	*/
--- a/emulator/beliefs/src/spreading-report.ts
+++ b/emulator/beliefs/src/propagation-report.ts
@@ -1,9 +1,9 @@
-import type {SpreadingLine} from './spreading-line.ts';
+import type {PropagationLogLine} from './propagation-log-line.ts';
 
 /**
 When the nodes believed what was written. Times are in milliseconds after the start. Nodes that were lost are left out.
 */
-export type SpreadingReport = {
+export type PropagationReport = {
 	readonly changes: ReadonlyArray<{
 		readonly kind: string;
 		/**
@@ -14,7 +14,7 @@
 		/**
 		When each node had it, by the node's id; 0 or later.
 		*/
-		readonly believedAtMs: ReadonlyMap<string, number>;
+		readonly appliedAtMs: ReadonlyMap<string, number>;
 		/**
 		When the last of those that ever had it did, but for nodes that were started later.
 		*/
@@ -27,14 +27,14 @@
 	/**
 	Whole states that nodes had from peers.
 	*/
-	readonly statesAsked: number;
+	readonly statesFromPeers: number;
 	readonly bytesSent: number;
 	readonly messagesSent: number;
-	readonly watchesCut: number;
+	readonly watchesInterrupted: number;
 	/**
 	Watches that came back empty although something had changed.
 	*/
-	readonly watchesDeaf: number;
+	readonly watchesMissed: number;
 	/**
 	Calls on the store, by their name.
 	*/
@@ -42,5 +42,5 @@
 	/**
 	Empty unless they are asked for.
 	*/
-	readonly lines: readonly SpreadingLine[];
+	readonly lines: readonly PropagationLogLine[];
 };
--- a/emulator/beliefs/src/run-spreading.ts
+++ b/emulator/beliefs/src/run-propagation.ts
@@ -3,20 +3,20 @@
 import {createRandom} from '@valvesaddle/random';
 import {createChangeRecord} from './create-change-record.ts';
 import {createEmulatedConfiguration} from './create-emulated-configuration.ts';
-import {createEmulatedNews} from './create-emulated-news.ts';
+import {createEmulatedLoadUpdates} from './create-emulated-load-updates.ts';
 import {createEmulatedStore} from './create-emulated-store.ts';
 import {createLinkHub} from './create-link-hub.ts';
 import {createPausedRuntime} from './create-paused-runtime.ts';
-import {createSpreadingNode} from './create-spreading-node.ts';
+import {createPropagationNode} from './create-propagation-node.ts';
 import type {EmulatedStore} from './emulated-store.ts';
-import type {FaultTools} from './fault-tools.ts';
-import {listRole} from './list-role.ts';
-import type {SpreadingChange} from './spreading-change.ts';
-import type {SpreadingLine} from './spreading-line.ts';
-import type {SpreadingNode} from './spreading-node.ts';
-import type {SpreadingOptions} from './spreading-options.ts';
-import type {SpreadingReport} from './spreading-report.ts';
-import type {SpreadingTarget} from './spreading-target.ts';
+import type {FaultContext} from './fault-context.ts';
+import {listByRole} from './list-by-role.ts';
+import type {PropagationChange} from './propagation-change.ts';
+import type {PropagationLogLine} from './propagation-log-line.ts';
+import type {PropagationNode} from './propagation-node.ts';
+import type {PropagationOptions} from './propagation-options.ts';
+import type {PropagationReport} from './propagation-report.ts';
+import type {PropagationTarget} from './propagation-target.ts';
 import {startFault} from './start-fault.ts';
 import type {WrittenChange} from './written-change.ts';
 
@@ -56,7 +56,7 @@
  const {changes} = await runSpreading({nodes: 40, dataCentres: ['a', 'b'], endpoints: 60, lengthMs: 12_000, seed: 7, links, settings, changes: [{kind: 'configuration', atMs: 8000}], faults: []});
  changes[0].missing; // []
  */
-export async function runSpreading(options: SpreadingOptions): Promise<SpreadingReport> {
+export async function runPropagation(options: PropagationOptions): Promise<PropagationReport> {
 	const runtime = createPausedRuntime(options.seed + drawSeed);
 	try {
 		return await runFleet(options, runtime);
@@ -65,19 +65,19 @@
 	}
 }
 
-async function runFleet(options: SpreadingOptions, runtime: FaultTools['runtime']): Promise<SpreadingReport> {
+async function runFleet(options: PropagationOptions, runtime: FaultContext['runtime']): Promise<PropagationReport> {
 	const random = createRandom(options.seed);
 	const {settings} = options;
-	const lines: SpreadingLine[] = [];
+	const lines: PropagationLogLine[] = [];
 	const stateUnanswered = new Set<string>();
 	const lost = new Set<string>();
 	const store = createEmulatedStore({timeoutMs: settings.store.timeout_ms, random});
 	const hub = createLinkHub({traits: options.links, random});
-	const nodes: SpreadingNode[] = [];
+	const nodes: PropagationNode[] = [];
 	const record = createChangeRecord({now: runtime.now});
 	const startNode = (index: number): void => {
 		const self = createSelf(index, options.dataCentres, random);
-		const node = createSpreadingNode({
+		const node = createPropagationNode({
 			self,
 			store: store.open(self),
 			hub,
@@ -87,7 +87,7 @@
 					lines.push({atMs: runtime.now(), node: self.id, event});
 				}
 			}),
-			...(options.work !== undefined && {takeNews: createEmulatedNews({work: options.work, endpoints: options.endpoints, random})}),
+			...(options.loadUpdates !== undefined && {takeNews: createEmulatedLoadUpdates({work: options.loadUpdates, endpoints: options.endpoints, random})}),
 			isStateUnanswered: () => stateUnanswered.has(self.id),
 		});
 		nodes.push(node);
@@ -95,10 +95,10 @@
 		node.start();
 	};
 
-	const listLiving = (): readonly SpreadingNode[] => nodes.filter(({self}) => !lost.has(self.id));
+	const listLiving = (): readonly PropagationNode[] => nodes.filter(({self}) => !lost.has(self.id));
 	const endpoints = Array.from({length: options.endpoints}, (_value, index) => createEndpoint(index, options.dataCentres));
-	const listLivingRole = (role: SpreadingTarget['role']): readonly string[] => listRole(listLiving().map(({self}) => self), {role, meshNodes: settings.peers.mesh_nodes});
-	const tools: FaultTools = {
+	const listLivingRole = (role: PropagationTarget['role']): readonly string[] => listByRole(listLiving().map(({self}) => self), {role, meshNodes: settings.peers.mesh_nodes});
+	const tools: FaultContext = {
 		runtime,
 		random,
 		store,
@@ -112,7 +112,7 @@
 			store.endNode(id);
 			nodes.find(({self}) => self.id === id)!.close();
 		},
-		startAgain(id) {
+		startReplacement(id) {
 			startNode(Number(indexPattern.exec(id)!.groups!.index));
 		},
 		setStateUnanswered(id) {
@@ -151,7 +151,7 @@
 	await runtime.advance(options.lengthMs);
 	const report = summarizeNodes(nodes);
 	const changes = record.summarize(listLiving());
-	const storeFigures = {storeCalls: {...store.calls()}, watchesDeaf: store.countDeafWatches()};
+	const storeFigures = {storeCalls: {...store.calls()}, watchesMissed: store.countMissedWatches()};
 	const written = [...lines];
 	for (const node of listLiving()) {
 		node.close();
@@ -185,7 +185,7 @@
 	};
 }
 
-function createLineLogger(write: (event: SpreadingLine['event']) => void): Logger {
+function createLineLogger(write: (event: PropagationLogLine['event']) => void): Logger {
 	return {
 		info: write,
 		warn: write,
@@ -206,11 +206,11 @@
 	readonly now: number;
 };
 
-function writeChange(change: SpreadingChange, {store, endpoints, version, now}: WriteOptions): WrittenChange {
+function writeChange(change: PropagationChange, {store, endpoints, version, now}: WriteOptions): WrittenChange {
 	if (change.kind === 'configuration') {
 		store.writeConfiguration(createEmulatedConfiguration(version));
 		return {
-			kind: change.kind, subject: String(version), writtenAtMs: now, isBelieved: view => (view.configuration()?.version ?? 0) >= version,
+			kind: change.kind, subject: String(version), writtenAtMs: now, isApplied: view => (view.configuration()?.version ?? 0) >= version,
 		};
 	}
 
@@ -227,16 +227,16 @@
 		subject: id,
 		writtenAtMs: now,
 		// An endpoint that is believed gone takes no requests either.
-		isBelieved: view => view.endpoints().every(known => known.id !== id || (change.kind === 'endpoint-draining' && known.state === 'draining')),
+		isApplied: view => view.endpoints().every(known => known.id !== id || (change.kind === 'endpoint-draining' && known.state === 'draining')),
 	};
 }
 
-function summarizeNodes(nodes: readonly SpreadingNode[]): Pick<SpreadingReport, 'statesAsked' | 'bytesSent' | 'messagesSent' | 'watchesCut'> {
+function summarizeNodes(nodes: readonly PropagationNode[]): Pick<PropagationReport, 'statesFromPeers' | 'bytesSent' | 'messagesSent' | 'watchesInterrupted'> {
 	const sum = (name: string): number => nodes.reduce((total, {metrics}) => total + metrics.total(name), 0);
 	return {
-		statesAsked: sum('gateway.states-from-peers'),
+		statesFromPeers: sum('gateway.states-from-peers'),
 		bytesSent: sum('peer.bytes-sent'),
 		messagesSent: sum('peer.messages-sent'),
-		watchesCut: sum('gateway.watches-cut'),
+		watchesInterrupted: sum('gateway.watches-cut'),
 	};
 }
--- a/emulator/beliefs/src/start-fault.ts
+++ b/emulator/beliefs/src/start-fault.ts
@@ -1,8 +1,8 @@
-import type {FaultTools} from './fault-tools.ts';
-import type {SpreadingFault} from './spreading-fault.ts';
+import type {FaultContext} from './fault-context.ts';
+import type {PropagationFault} from './propagation-fault.ts';
 
 type FaultHandlers = {
-	readonly [Kind in SpreadingFault['kind']]: (fault: Extract<SpreadingFault, {readonly kind: Kind}>, tools: FaultTools) => void;
+	readonly [Kind in PropagationFault['kind']]: (fault: Extract<PropagationFault, {readonly kind: Kind}>, tools: FaultContext) => void;
 };
 
 const faultHandlers: FaultHandlers = {
@@ -13,29 +13,29 @@
 		});
 	},
 	'store-down'(fault, {store, runtime, listNodes}) {
-		store.setTreatment(fault.how, new Set(listNodes()));
+		store.setResponseMode(fault.how, new Set(listNodes()));
 		runtime.add(fault.atMs + fault.forMs, () => {
-			store.setTreatment('served', new Set(listNodes()));
+			store.setResponseMode('served', new Set(listNodes()));
 		});
 	},
 	'store-slow'(fault, {store, runtime}) {
-		store.setSlowness(fault.addedMs);
+		store.setAddedLatency(fault.addedMs);
 		runtime.add(fault.atMs + fault.forMs, () => {
-			store.setSlowness(0);
+			store.setAddedLatency(0);
 		});
 	},
 	'store-refuses'(fault, {store, runtime, random, listNodes, listFollowers}) {
 		const {share} = fault;
 		const refused = new Set(share === 'followers' ? listFollowers() : listNodes().filter(() => random() < share));
-		store.setTreatment(fault.how, refused);
+		store.setResponseMode(fault.how, refused);
 		runtime.add(fault.atMs + fault.forMs, () => {
-			store.setTreatment('served', refused);
+			store.setResponseMode('served', refused);
 		});
 	},
 	'node-lost'(fault, {findTarget, endNode}) {
 		endNode(findTarget(fault.target), fault.how);
 	},
-	'node-restarted'(fault, {runtime, findTarget, endNode, startAgain}) {
+	'node-restarted'(fault, {runtime, findTarget, endNode, startReplacement: startAgain}) {
 		const node = findTarget(fault.target);
 		endNode(node, 'reset');
 		runtime.add(fault.atMs + fault.forMs, () => {
@@ -46,9 +46,9 @@
 		hub.endLinks(findTarget(fault.target), fault.how);
 	},
 	'links-cut'(fault, {hub, runtime}) {
-		hub.setCut(fault.between, true);
+		hub.setPartition(fault.between, true);
 		runtime.add(fault.atMs + fault.forMs, () => {
-			hub.setCut(fault.between, false);
+			hub.setPartition(fault.between, false);
 		});
 	},
 	'state-unanswered'(fault, {findTarget, setStateUnanswered}) {
@@ -62,7 +62,7 @@
  @example
  startFault({kind: 'store-slow', atMs: 0, forMs: 900, addedMs: 300}, tools);
  */
-export function startFault(fault: SpreadingFault, tools: FaultTools): void {
-	const handle = faultHandlers[fault.kind] as (fault: SpreadingFault, tools: FaultTools) => void;
+export function startFault(fault: PropagationFault, tools: FaultContext): void {
+	const handle = faultHandlers[fault.kind] as (fault: PropagationFault, tools: FaultContext) => void;
 	handle(fault, tools);
 }
--- a/emulator/beliefs/src/written-change.ts
+++ b/emulator/beliefs/src/written-change.ts
@@ -7,5 +7,5 @@
 	readonly kind: string;
 	readonly subject: string;
 	readonly writtenAtMs: number;
-	readonly isBelieved: (view: ClusterView) => boolean;
+	readonly isApplied: (view: ClusterView) => boolean;
 };
--- a/emulator/beliefs/test/full-uplink.test.ts
+++ b/emulator/beliefs/test/full-uplink.test.ts
@@ -1,5 +1,5 @@
 import {test} from 'tap';
-import {createUsualSettings, runSpreading, type SpreadingOptions} from '@valvesaddle/emulator-beliefs';
+import {createDefaultSettings, runPropagation, type PropagationOptions} from '@valvesaddle/emulator-beliefs';
 
 /**
 Time in which a change has to be believed everywhere at this size, in milliseconds; `docs/DEVELOPERS.md` allows 4 s at 380
@@ -15,16 +15,16 @@
 */
 const uplinkBytesPerMs = 1250;
 
-const fleet: Omit<SpreadingOptions, 'seed'> = {
+const fleet: Omit<PropagationOptions, 'seed'> = {
 	nodes: 40,
 	dataCentres: ['a', 'b', 'c'],
 	endpoints: 110,
 	lengthMs: loadedMs + 4500,
-	settings: createUsualSettings({newsMs: 20}),
+	settings: createDefaultSettings({loadUpdateMs: 20}),
 	links: {
 		nearMs: 0.5, farMs: 1.4, jitterShare: 0.3, lossShare: 0, uplinkBytesPerMs,
 	},
-	work: {loads: 5, placements: 2},
+	loadUpdates: {loads: 5, placements: 2},
 	changes: [
 		{kind: 'configuration', atMs: loadedMs},
 		{kind: 'endpoint-draining', atMs: loadedMs + 100, endpoint: 3},
@@ -45,7 +45,7 @@
 200 Mbit/s for all and nothing else changed, all 87 nodes had it at 2.63 s.
 */
 test('a change reaches every member of a relay whose uplink takes less than all that could be told of work', async t => {
-	const report = await runSpreading({...fleet, seed: 1});
+	const report = await runPropagation({...fleet, seed: 1});
 	for (const {kind, subject, writtenAtMs, lastAtMs, missing} of report.changes) {
 		t.same(missing, [], `${kind} ${subject} is believed everywhere`);
 		t.ok(lastAtMs - writtenAtMs <= boundMs, `${kind} ${subject}: the last node had it after ${lastAtMs - writtenAtMs} ms`);
--- a/emulator/beliefs/test/spreading.test.ts
+++ b/emulator/beliefs/test/propagation.test.ts
@@ -1,10 +1,10 @@
 import {inspect} from 'node:util';
 import {test} from 'tap';
 import {
-	createUsualSettings,
-	runSpreading,
-	type SpreadingOptions,
-	type SpreadingReport,
+	createDefaultSettings,
+	runPropagation,
+	type PropagationOptions,
+	type PropagationReport,
 } from '@valvesaddle/emulator-beliefs';
 
 /**
@@ -17,12 +17,12 @@
 */
 const formedMs = 4000;
 
-const fleet: Omit<SpreadingOptions, 'seed' | 'changes' | 'faults'> = {
+const fleet: Omit<PropagationOptions, 'seed' | 'changes' | 'faults'> = {
 	nodes: 40,
 	dataCentres: ['a', 'b', 'c', 'd'],
 	endpoints: 60,
 	lengthMs: formedMs + 6500,
-	settings: createUsualSettings({newsMs: 400}),
+	settings: createDefaultSettings({loadUpdateMs: 400}),
 	links: {
 		nearMs: 0.5, farMs: 12, jitterShare: 0.3, lossShare: 0,
 	},
@@ -31,10 +31,10 @@
 /**
 Each change that some node had later than allowed, or never, in words.
 */
-function listLate({changes}: SpreadingReport, fromMs = 0): readonly string[] {
-	return changes.flatMap(({kind, subject, writtenAtMs, believedAtMs, lastAtMs, missing}) => {
+function listLate({changes}: PropagationReport, fromMs = 0): readonly string[] {
+	return changes.flatMap(({kind, subject, writtenAtMs, appliedAtMs, lastAtMs, missing}) => {
 		const delayMs = lastAtMs - Math.max(writtenAtMs, fromMs);
-		return missing.length > 0 || delayMs > boundMs ? [`${kind} ${subject}: ${believedAtMs.size} nodes had it, ${missing.length} never, the last after ${delayMs} ms`] : [];
+		return missing.length > 0 || delayMs > boundMs ? [`${kind} ${subject}: ${appliedAtMs.size} nodes had it, ${missing.length} never, the last after ${delayMs} ms`] : [];
 	});
 }
 
@@ -46,7 +46,7 @@
 test('what was written while the watches of the store heard nothing is believed everywhere in time after they are cut', async t => {
 	// The configuration before lets the four followers begin new watches, whose waits of 3 s end about when the quiet does: in
 	// some runs all of them are cut before, in the last none waits any more.
-	const deaf: number[] = [];
+	const missed: number[] = [];
 	for (const {seed, quietMs} of [
 		{seed: 1, quietMs: 1100},
 		{seed: 1, quietMs: 1150},
@@ -58,7 +58,7 @@
 	]) {
 		const quietAtMs = formedMs + 2000;
 		// eslint-disable-next-line no-await-in-loop -- the clock of the runtime is paused for one run at a time
-		const report = await runSpreading({
+		const report = await runPropagation({
 			...fleet,
 			seed,
 			changes: [
@@ -69,12 +69,12 @@
 			],
 			faults: [{kind: 'store-quiet', atMs: quietAtMs, forMs: quietMs}],
 		});
-		deaf.push(report.watchesDeaf);
+		missed.push(report.watchesMissed);
 		t.same(listLate(report, quietAtMs + quietMs), [], `seed ${seed}, ${quietMs} ms`);
 	}
 
-	t.ok(deaf.some(count => count > 0), 'watches came back empty in spite of the changes');
-	t.ok(deaf.includes(0), 'and in another run none did');
+	t.ok(missed.some(count => count > 0), 'watches came back empty in spite of the changes');
+	t.ok(missed.includes(0), 'and in another run none did');
 });
 
 /**
@@ -87,7 +87,7 @@
 		const quietMs = 40;
 		const quietAtMs = formedMs + 1000;
 		// eslint-disable-next-line no-await-in-loop -- the clock of the runtime is paused for one run at a time
-		const report = await runSpreading({
+		const report = await runPropagation({
 			...fleet,
 			seed: 1,
 			changes: [
@@ -100,7 +100,7 @@
 				{kind: 'store-quiet', atMs: quietAtMs, forMs: quietMs},
 			],
 		});
-		t.equal(report.watchesDeaf, 0, 'no watch came back empty');
+		t.equal(report.watchesMissed, 0, 'no watch came back empty');
 		t.same(listLate(report), [], role);
 	}
 });
@@ -114,7 +114,7 @@
 	const backAtMs = formedMs + 990;
 	for (const seed of [1, 2, 3, 5, 8]) {
 		// eslint-disable-next-line no-await-in-loop -- the clock of the runtime is paused for one run at a time
-		const report = await runSpreading({
+		const report = await runPropagation({
 			...fleet,
 			seed,
 			changes: [
@@ -139,7 +139,7 @@
 test('a store that refuses all that follow it for the others, over slow links, is asked by others in time', async t => {
 	for (const farMs of [12, 40, 80]) {
 		// eslint-disable-next-line no-await-in-loop -- the clock of the runtime is paused for one run at a time
-		const report = await runSpreading({
+		const report = await runPropagation({
 			...fleet,
 			seed: 1,
 			links: {...fleet.links, farMs},
@@ -158,7 +158,7 @@
 without the change; 28 of 39 nodes never heard that an endpoint drained.
 */
 test('a change that a follower has heard from another before is passed on with its revision', async t => {
-	const report = await runSpreading({
+	const report = await runPropagation({
 		...fleet,
 		lengthMs: 17_000,
 		seed: 43,
@@ -188,7 +188,7 @@
 /**
 What a fleet has to bear, each by itself.
 */
-const usualFaults: ReadonlyArray<{readonly name: string; readonly faults: SpreadingOptions['faults']; readonly lossShare?: number}> = [
+const usualFaults: ReadonlyArray<{readonly name: string; readonly faults: PropagationOptions['faults']; readonly lossShare?: number}> = [
 	{name: 'lossy links', faults: [], lossShare: 0.05},
 	{
 		name: 'a relay that ends', faults: [{
@@ -239,7 +239,7 @@
 
 for (const {name, faults, lossShare = 0} of usualFaults) {
 	test(`every change is believed everywhere in time: ${name}`, async t => {
-		const report = await runSpreading({
+		const report = await runPropagation({
 			...fleet,
 			seed: 3,
 			links: {...fleet.links, lossShare},
@@ -259,7 +259,7 @@
 
 test('the same options and seed give the same report, another seed another one, and the runtime its clock back', async t => {
 	const {now} = performance;
-	const run = async (seed: number) => runSpreading({
+	const run = async (seed: number) => runPropagation({
 		...fleet, nodes: 20, lengthMs: 3000, seed, changes: [{kind: 'configuration', atMs: 2000}], faults: [], isLogged: true,
 	});
 	const first = await run(1);
@@ -275,7 +275,7 @@
 */
 test('nodes that others watch for call the store no more often than their start and their leases ask', async t => {
 	const nodes = 80;
-	const {storeCalls} = await runSpreading({
+	const {storeCalls} = await runPropagation({
 		...fleet, nodes, lengthMs: 16_000, seed: 1, changes: [], faults: [],
 	});
 	const followers = 4;
@@ -295,7 +295,7 @@
 	// Pauses are up to half shorter by lot; a list at the start and one after the outage have two pages each.
 	const mostTries = 1.5 * downS;
 	const pages = 4;
-	const {storeCalls, changes} = await runSpreading({
+	const {storeCalls, changes} = await runPropagation({
 		...fleet,
 		nodes,
 		lengthMs: 20_000,
--- a/emulator/engine/src/create-engine.ts
+++ b/emulator/engine/src/create-engine.ts
@@ -1,7 +1,7 @@
-import {createPromptMemory} from './create-prompt-memory.ts';
+import {createPrefixCache} from './create-prefix-cache.ts';
 import type {Engine} from './engine.ts';
 import type {EngineJob} from './engine-job.ts';
-import type {EngineSpeed} from './engine-speed.ts';
+import type {EngineProfile} from './engine-profile.ts';
 
 const tokensPerThousand = 1000;
 const pairsPerMillion = 1_000_000;
@@ -36,15 +36,15 @@
  const milliseconds = engine.startStep();
  engine.endStep();
  */
-export function createEngine(speed: EngineSpeed, everKept = new Set<string>()): Engine {
-	const memory = createPromptMemory();
+export function createEngine(speed: EngineProfile, everKept = new Set<string>()): Engine {
+	const memory = createPrefixCache();
 	let waiting: Run[] = [];
 	let running: Run[] = [];
 	let chunks = new Map<Run, number>();
 	let slowness = 1;
 	let order = 0;
-	let read = 0;
-	let readAgain = 0;
+	let prefilledTokens = 0;
+	let recomputedTokens = 0;
 	let preempted = 0;
 
 	function countInUse(): number {
@@ -62,7 +62,7 @@
 		for (const {id, tokens} of run.job.shared) {
 			isPrefixKept &&= memory.has(id);
 			kept += isPrefixKept ? tokens : 0;
-			readAgain += !isPrefixKept && everKept.has(id) ? tokens : 0;
+			recomputedTokens += !isPrefixKept && everKept.has(id) ? tokens : 0;
 		}
 
 		run.unread = Math.max(1, run.job.promptTokens - kept);
@@ -117,10 +117,10 @@
 	}
 
 	function measureStep(): number {
-		let milliseconds = speed.stepMs + (speed.stepMsPerRun * running.length) + (speed.stepMsPerThousand * countInUse() / tokensPerThousand);
+		let milliseconds = speed.stepMs + (speed.stepMsPerSequence * running.length) + (speed.stepMsPerThousandTokens * countInUse() / tokensPerThousand);
 		for (const [run, tokens] of chunks) {
 			const before = run.job.promptTokens - run.unread + (tokens / 2);
-			milliseconds += (tokens / speed.tokensPerMs) + (tokens * before / pairsPerMillion * speed.msPerMillionPairs);
+			milliseconds += (tokens / speed.prefillTokensPerMs) + (tokens * before / pairsPerMillion * speed.msPerMillionPairs);
 		}
 
 		return milliseconds;
@@ -161,7 +161,7 @@
 		startStep() {
 			applyPreemption();
 			chunks = new Map();
-			let left = speed.chunkTokens;
+			let left = speed.prefillTokensPerStep;
 			for (const run of running) {
 				left -= startReadingOf(run, left);
 			}
@@ -176,7 +176,7 @@
 				}
 
 				run.unread -= tokens;
-				read += tokens;
+				prefilledTokens += tokens;
 				if (run.unread === 0) {
 					advanceRun(run);
 				}
@@ -193,7 +193,7 @@
 		setSlowness(factor) {
 			slowness = factor;
 		},
-		counts: () => ({read, readAgain, preempted}),
+		counts: () => ({prefilledTokens, recomputedTokens, preempted}),
 	};
 }
 
--- a/emulator/engine/src/create-prompt-memory.ts
+++ b/emulator/engine/src/create-prefix-cache.ts
@@ -1,4 +1,4 @@
-import type {PromptMemory} from './prompt-memory.ts';
+import type {PrefixCache} from './prefix-cache.ts';
 
 /**
  Creates an engine's memory of shared prompt parts; the least recently used go first.
@@ -9,7 +9,7 @@
  memory.shrink(2000);
  memory.has('felling-rules'); // false
  */
-export function createPromptMemory(): PromptMemory {
+export function createPrefixCache(): PrefixCache {
 	const parts = new Map<string, number>();
 	let sum = 0;
 
--- a/emulator/engine/src/engine-speed.ts
+++ b/emulator/engine/src/engine-profile.ts
@@ -1,7 +1,7 @@
 /**
 Sizes and speeds of an emulated engine. Times are in milliseconds.
 */
-export type EngineSpeed = {
+export type EngineProfile = {
 	/**
 	Requests that run at once, and those that may wait beyond them.
 	*/
@@ -15,16 +15,16 @@
 	Time of a step that makes one token for each request, and what each request adds to it.
 	*/
 	readonly stepMs: number;
-	readonly stepMsPerRun: number;
+	readonly stepMsPerSequence: number;
 	/**
 	What each thousand tokens in memory add to a step.
 	*/
-	readonly stepMsPerThousand: number;
+	readonly stepMsPerThousandTokens: number;
 	/**
 	Prompt tokens read in a millisecond, and the most that one step reads.
 	*/
-	readonly tokensPerMs: number;
-	readonly chunkTokens: number;
+	readonly prefillTokensPerMs: number;
+	readonly prefillTokensPerStep: number;
 	/**
 	What a million pairs of a token read and a token before it add to reading.
 	*/
--- a/emulator/engine/src/engine.ts
+++ b/emulator/engine/src/engine.ts
@@ -28,5 +28,5 @@
 	/**
 	Shared tokens that were read again after they had been kept, and all tokens read.
 	*/
-	readonly counts: () => {readonly read: number; readonly readAgain: number; readonly preempted: number};
+	readonly counts: () => {readonly prefilledTokens: number; readonly recomputedTokens: number; readonly preempted: number};
 };
--- a/emulator/engine/src/index.ts
+++ b/emulator/engine/src/index.ts
@@ -1,4 +1,4 @@
 export {createEngine} from './create-engine.ts';
 export type {Engine} from './engine.ts';
 export type {EngineJob} from './engine-job.ts';
-export type {EngineSpeed} from './engine-speed.ts';
+export type {EngineProfile} from './engine-profile.ts';
--- a/emulator/engine/src/prompt-memory.ts
+++ b/emulator/engine/src/prefix-cache.ts
@@ -1,7 +1,7 @@
 /**
 Shared prompt parts that an engine keeps.
 */
-export type PromptMemory = {
+export type PrefixCache = {
 	readonly has: (id: string) => boolean;
 	/**
 	Adds a part, or marks it as just used.
--- a/emulator/engine/test/engine.test.ts
+++ b/emulator/engine/test/engine.test.ts
@@ -3,11 +3,11 @@
 	createEngine,
 	type Engine,
 	type EngineJob,
-	type EngineSpeed,
+	type EngineProfile,
 } from '@valvesaddle/emulator-engine';
 
-const speed: EngineSpeed = {
-	slots: 2, queue: 2, cacheTokens: 10_000, stepMs: 5, stepMsPerRun: 0, stepMsPerThousand: 0, tokensPerMs: 50, chunkTokens: 2000, msPerMillionPairs: 0, tokensPerEvent: 3,
+const speed: EngineProfile = {
+	slots: 2, queue: 2, cacheTokens: 10_000, stepMs: 5, stepMsPerSequence: 0, stepMsPerThousandTokens: 0, prefillTokensPerMs: 50, prefillTokensPerStep: 2000, msPerMillionPairs: 0, tokensPerEvent: 3,
 };
 
 function createJob(id: string, change: Partial<EngineJob> = {}): {readonly job: EngineJob; readonly events: number[]; readonly ends: string[]} {
@@ -73,20 +73,20 @@
 });
 
 test('shared parts are kept and read again only when memory ran short', t => {
-	const engine = createEngine({...speed, chunkTokens: 100_000});
+	const engine = createEngine({...speed, prefillTokensPerStep: 100_000});
 	const shared = (id: string) => [{id, tokens: 6000}];
 	for (const id of ['rules', 'rules', 'other', 'rules']) {
 		engine.add(createJob(id, {promptTokens: 7000, shared: shared(id), events: 1}).job);
 		runSteps(engine, 1);
 	}
 
-	t.same(engine.counts(), {read: 7000 + 1000 + 7000 + 7000, readAgain: 6000, preempted: 0});
+	t.same(engine.counts(), {prefilledTokens: 7000 + 1000 + 7000 + 7000, recomputedTokens: 6000, preempted: 0});
 	t.end();
 });
 
 test('the newest of the least urgent requests is put back when memory runs out, and a full queue refuses', t => {
 	const engine = createEngine({
-		...speed, slots: 2, cacheTokens: 4010, chunkTokens: 100_000,
+		...speed, slots: 2, cacheTokens: 4010, prefillTokensPerStep: 100_000,
 	});
 	const urgent = createJob('urgent', {promptTokens: 2000, events: 5});
 	const routine = createJob('routine', {promptTokens: 2000, events: 5, urgency: 3});
--- a/emulator/fleet/src/caller-class.ts
+++ b/emulator/fleet/src/caller-class.ts
@@ -4,7 +4,7 @@
 type Size = {
 	readonly mean: number;
 	readonly spread: number;
-	readonly most: number;
+	readonly maximum: number;
 };
 
 /**
--- a/emulator/fleet/src/caller-outcome.ts
+++ b/emulator/fleet/src/caller-outcome.ts
@@ -6,9 +6,9 @@
 	/**
 	Time at which the caller first asked, in milliseconds.
 	*/
-	readonly askedAt: number;
+	readonly startedAt: number;
 	readonly end: 'inTime' | 'firstLate' | 'pauseLate' | 'refused' | 'failed' | 'abandoned';
-	readonly wasTurnedAway: boolean;
+	readonly wasRefused: boolean;
 	readonly owed: number;
 	readonly earned: number;
 };
--- a/emulator/fleet/src/create-emulated-endpoint.ts
+++ b/emulator/fleet/src/create-emulated-endpoint.ts
@@ -1,4 +1,4 @@
-import {createEngine, type EngineSpeed} from '@valvesaddle/emulator-engine';
+import {createEngine, type EngineProfile} from '@valvesaddle/emulator-engine';
 import type {EmulatedEndpoint} from './emulated-endpoint.ts';
 import type {EmulationClock} from './emulation-clock.ts';
 import {createNoticeCheck} from './create-notice-check.ts';
@@ -8,7 +8,7 @@
 type EmulatedEndpointOptions = {
 	readonly id: string;
 	readonly clock: EmulationClock;
-	readonly speed: EngineSpeed;
+	readonly speed: EngineProfile;
 	readonly slowness: number;
 	readonly linkMs: number;
 	/**
@@ -105,7 +105,7 @@
 						answerLater(job.id, () => {
 							// The head of the answer comes with the first event.
 							if (isLeaving && number === job.firstEvent) {
-								check.recordLeave(sender.node);
+								check.recordDraining(sender.node);
 							}
 
 							job.onEvent(number);
@@ -138,7 +138,7 @@
 				clock.add(linkMs, handler);
 			}
 		},
-		setDark(dark) {
+		setUnresponsive(dark) {
 			isDark = dark;
 			removeAll();
 		},
@@ -148,11 +148,11 @@
 		setOverload(kind) {
 			overload = kind;
 		},
-		leave() {
+		startDraining() {
 			isLeaving = true;
 		},
 		isLeaving: () => isLeaving,
-		countBroken: check.countBroken,
+		countBrokenNotices: check.countBrokenNotices,
 		counts: engine.counts,
 	};
 }
--- a/emulator/fleet/src/create-emulated-exchanges.ts
+++ b/emulator/fleet/src/create-emulated-exchanges.ts
@@ -71,8 +71,8 @@
 			listener.onSent();
 			endpoint.send({
 				id: jobId,
-				promptTokens: prompt.facts.promptTokens + Number(lastEventId) + 1,
-				shared: prompt.facts.parts.slice(0, -1),
+				promptTokens: prompt.metadata.promptTokens + Number(lastEventId) + 1,
+				shared: prompt.metadata.parts.slice(0, -1),
 				events: prompt.events,
 				firstEvent: Number(lastEventId) + 1,
 				urgency: Number(urgency),
--- a/emulator/fleet/src/create-emulated-node.ts
+++ b/emulator/fleet/src/create-emulated-node.ts
@@ -85,7 +85,7 @@
 	return {
 		id,
 		selector,
-		setOnPlaced(handle) {
+		setOnPlacement(handle) {
 			handlePlaced = handle;
 		},
 		forwarder: createForwarder({
--- a/emulator/fleet/src/create-notice-check.ts
+++ b/emulator/fleet/src/create-notice-check.ts
@@ -42,7 +42,7 @@
 			const now = performance.now();
 			cooldowns.set(node, [...(cooldowns.get(node) ?? []), {from: now + cooldownSlackMs, until: now + milliseconds, arrivals: 0}]);
 		},
-		recordLeave(node) {
+		recordDraining(node) {
 			leaves.set(node, leaves.get(node) ?? performance.now());
 		},
 		recordArrival(node) {
@@ -53,6 +53,6 @@
 
 			broken += performance.now() > (leaves.get(node) ?? Infinity) + leaveSlackMs ? 1 : 0;
 		},
-		countBroken: () => broken,
+		countBrokenNotices: () => broken,
 	};
 }
--- a/emulator/fleet/src/create-prompt-source.ts
+++ b/emulator/fleet/src/create-prompt-source.ts
@@ -24,21 +24,21 @@
 
  @example
  const source = createPromptSource(createRandom(7), 3);
- source.draw(kind).facts.promptTokens;
+ source.draw(kind).metadata.promptTokens;
  */
 export function createPromptSource(random: () => number, tokensPerEvent: number): PromptSource {
 	const prompts = new Map<string, Prompt>();
 	const sizes = new Map<string, number>();
 	let count = 0;
 
-	function drawSize({mean, spread, most}: CallerClass['own']): number {
+	function drawSize({mean, spread, maximum: most}: CallerClass['own']): number {
 		const logMean = Math.log(mean) - ((spread ** 2) / 2);
 		const drawTokens = randomLogNormal.source(random)(logMean, spread);
 		const tokens = Math.round(drawTokens());
 		return Math.max(1, Math.min(most, tokens));
 	}
 
-	function drawShared(kind: CallerClass): Prompt['facts']['parts'] {
+	function drawShared(kind: CallerClass): Prompt['metadata']['parts'] {
 		return kind.shared.map((part, index) => {
 			const id = `${kind.name}-${index}-${Math.floor((random() ** skew) * part.subjects)}`;
 			const tokens = sizes.get(id) ?? drawSize(part);
@@ -58,7 +58,7 @@
 			const meanSize = kind.shared.reduce((sum, {mean}) => sum + mean, kind.own.mean) + (tokensPerOutput * kind.events.mean * tokensPerEvent);
 			const credit = Math.min(mostCredit, fixedCredit + (grownCredit * (promptTokens + (tokensPerOutput * outputTokens)) / meanSize));
 			const prompt = {
-				facts: {
+				metadata: {
 					requestId, waitMs: undefined, apiKey: undefined, promptTokens, outputTokens, parts: [...shared, {id: requestId, tokens: own}], lastEventId: -1,
 				},
 				events,
--- a/emulator/fleet/src/emulated-endpoint.ts
+++ b/emulator/fleet/src/emulated-endpoint.ts
@@ -16,7 +16,7 @@
 	/**
 	Stops without a word, or starts again empty.
 	*/
-	readonly setDark: (isDark: boolean) => void;
+	readonly setUnresponsive: (isDark: boolean) => void;
 	readonly setSlowness: (factor: number) => void;
 	/**
 	Sets how requests are refused; `undefined` takes them again.
@@ -25,11 +25,11 @@
 	/**
 	From here on each answer says that the engine leaves.
 	*/
-	readonly leave: () => void;
+	readonly startDraining: () => void;
 	readonly isLeaving: () => boolean;
 	/**
 	Times at which a node did not heed what the engine had said of itself.
 	*/
-	readonly countBroken: () => number;
-	readonly counts: () => {readonly read: number; readonly readAgain: number; readonly preempted: number};
+	readonly countBrokenNotices: () => number;
+	readonly counts: () => {readonly prefilledTokens: number; readonly recomputedTokens: number; readonly preempted: number};
 };
--- a/emulator/fleet/src/emulated-node.ts
+++ b/emulator/fleet/src/emulated-node.ts
@@ -11,5 +11,5 @@
 	/**
 	Sets what is told of each request that is placed.
 	*/
-	readonly setOnPlaced: (handle: () => void) => void;
+	readonly setOnPlacement: (handle: () => void) => void;
 };
--- a/emulator/fleet/src/emulation-load.ts
+++ b/emulator/fleet/src/emulation-load.ts
@@ -1,4 +1,4 @@
-import type {EngineSpeed} from '@valvesaddle/emulator-engine';
+import type {EngineProfile} from '@valvesaddle/emulator-engine';
 import type {CallerClass} from './caller-class.ts';
 import type {EmulationFault} from './emulation-fault.ts';
 
@@ -16,13 +16,13 @@
 	/**
 	Turns of relays for each one of members; 1 tells all nodes each time.
 	*/
-	readonly memberTurns: number;
+	readonly intervalsPerMemberUpdate: number;
 	readonly linkMs: number;
 	/**
 	Factor on all times, for each engine.
 	*/
 	readonly slowness: readonly number[];
-	readonly engine: EngineSpeed;
+	readonly engine: EngineProfile;
 	readonly classes: readonly CallerClass[];
 	/**
 	Time for which a full engine asks for no more requests; without it it refuses only.
--- a/emulator/fleet/src/notice-check.ts
+++ b/emulator/fleet/src/notice-check.ts
@@ -9,10 +9,10 @@
 	/**
 	The engine told a node that it leaves.
 	*/
-	readonly recordLeave: (node: string) => void;
+	readonly recordDraining: (node: string) => void;
 	readonly recordArrival: (node: string) => void;
 	/**
 	Pauses with more requests than a node may send, and requests that came too late after a leave.
 	*/
-	readonly countBroken: () => number;
+	readonly countBrokenNotices: () => number;
 };
--- a/emulator/fleet/src/prompt.ts
+++ b/emulator/fleet/src/prompt.ts
@@ -4,7 +4,7 @@
 A caller's request with what only the engine learns.
 */
 export type Prompt = {
-	readonly facts: RequestFacts;
+	readonly metadata: RequestFacts;
 	readonly events: number;
 	/**
 	Credit of an answer in time and of a late one.
--- a/emulator/fleet/src/run-emulation.ts
+++ b/emulator/fleet/src/run-emulation.ts
@@ -15,7 +15,7 @@
 import type {EmulationOptions} from './emulation-options.ts';
 import type {EmulationReport} from './emulation-report.ts';
 import {startCaller} from './start-caller.ts';
-import {startNews} from './start-news.ts';
+import {startLoadUpdates} from './start-load-updates.ts';
 import {summarizeOutcomes} from './summarize-outcomes.ts';
 
 const msPerSecond = 1000;
@@ -37,9 +37,9 @@
 		endpoint.crash();
 	},
 	dark(clock, endpoint, {forMs}) {
-		endpoint.setDark(true);
+		endpoint.setUnresponsive(true);
 		clock.add(forMs, () => {
-			endpoint.setDark(false);
+			endpoint.setUnresponsive(false);
 		});
 	},
 	slow(clock, endpoint, {factor, forMs}) {
@@ -55,7 +55,7 @@
 		});
 	},
 	leave(_clock, endpoint) {
-		endpoint.leave();
+		endpoint.startDraining();
 	},
 };
 
@@ -89,7 +89,7 @@
 			}), endpoints: endpoints.keys().toArray(),
 		}));
 		const outcomes: CallerOutcome[] = [];
-		startNews({
+		startLoadUpdates({
 			clock, nodes, load, untilMs: load.lengthMs + tailMs,
 		});
 		for (const kind of load.classes) {
@@ -116,7 +116,7 @@
 
 		clock.run(load.lengthMs + tailMs);
 		return {
-			...summarizeOutcomes(outcomes), ...countReading(endpoints.values().toArray()), connections, brokenNotices: endpoints.values().reduce((sum, endpoint) => sum + endpoint.countBroken(), 0),
+			...summarizeOutcomes(outcomes), ...countReading(endpoints.values().toArray()), connections, brokenNotices: endpoints.values().reduce((sum, endpoint) => sum + endpoint.countBrokenNotices(), 0),
 		};
 	} finally {
 		Math.random = unseeded;
@@ -149,8 +149,8 @@
 function countReading(endpoints: readonly EmulatedEndpoint[]): Pick<EmulationReport, 'readTokens' | 'readAgainTokens' | 'preempted'> {
 	const counts = endpoints.map(endpoint => endpoint.counts());
 	return {
-		readTokens: counts.reduce((sum, {read}) => sum + read, 0),
-		readAgainTokens: counts.reduce((sum, {readAgain}) => sum + readAgain, 0),
+		readTokens: counts.reduce((sum, {prefilledTokens}) => sum + prefilledTokens, 0),
+		readAgainTokens: counts.reduce((sum, {recomputedTokens}) => sum + recomputedTokens, 0),
 		preempted: counts.reduce((sum, {preempted}) => sum + preempted, 0),
 	};
 }
--- a/emulator/fleet/src/start-caller.ts
+++ b/emulator/fleet/src/start-caller.ts
@@ -51,7 +51,7 @@
 			inTime: prompt.worth, firstLate: prompt.lateWorth, pauseLate: prompt.lateWorth, refused: 0, failed: 0, abandoned: 0,
 		};
 		onOutcome({
-			className: kind.name, askedAt, end, wasTurnedAway: tries > 1 || end === 'refused', owed: prompt.worth, earned: credits[end],
+			className: kind.name, startedAt: askedAt, end, wasRefused: tries > 1 || end === 'refused', owed: prompt.worth, earned: credits[end],
 		});
 	}
 
@@ -123,9 +123,9 @@
 	function send(): void {
 		tries++;
 		lastAt = clock.now();
-		const requestId = `${prompt.facts.requestId} ${tries}`;
+		const requestId = `${prompt.metadata.requestId} ${tries}`;
 		task = chooseNode().forwarder.forward({
-			facts: {...prompt.facts, requestId, waitMs: askedAt + kind.timeoutMs - clock.now()},
+			facts: {...prompt.metadata, requestId, waitMs: askedAt + kind.timeoutMs - clock.now()},
 			route: toRoute(kind),
 			version: 1,
 			pool: 'engines',
--- a/emulator/fleet/src/start-news.ts
+++ b/emulator/fleet/src/start-load-updates.ts
@@ -19,7 +19,7 @@
 	readonly members: readonly string[];
 };
 
-type NewsOptions = {
+type LoadUpdatesOptions = {
 	readonly clock: EmulationClock;
 	readonly nodes: readonly EmulatedNode[];
 	readonly load: EmulationLoad;
@@ -35,7 +35,7 @@
  @example
  startNews({clock, nodes, load, untilMs: 44_000});
  */
-export function startNews({clock, nodes, load, untilMs}: NewsOptions): void {
+export function startLoadUpdates({clock, nodes, load, untilMs}: LoadUpdatesOptions): void {
 	const links = planLinks(nodes.map(({id}) => id));
 	const syncs = new Map<string, NewsSync>();
 	const isRelay = (node: string): boolean => (links.get(node)?.members.length ?? 0) > 0 || links.get(node)!.relays.length > 1;
@@ -59,11 +59,11 @@
 		}));
 	}
 
-	for (const [index, {id, setOnPlaced}] of nodes.entries()) {
+	for (const [index, {id, setOnPlacement: setOnPlaced}] of nodes.entries()) {
 		const news = syncs.get(id)!;
 		// Nodes that start at different moments tell at different moments.
 		clock.add(load.newsMs * index / syncs.size, () => {
-			sendRepeatedly(clock, news, {pauseMs: load.newsMs, memberTurns: load.memberTurns, untilMs});
+			sendRepeatedly(clock, news, {pauseMs: load.newsMs, memberTurns: load.intervalsPerMemberUpdate, untilMs});
 		});
 		if (!isRelay(id)) {
 			setOnPlaced(createPlacedTeller(clock, news));
--- a/emulator/fleet/src/summarize-outcomes.ts
+++ b/emulator/fleet/src/summarize-outcomes.ts
@@ -17,7 +17,7 @@
  */
 export function summarizeOutcomes(outcomes: readonly CallerOutcome[]): Summary {
 	const byClass = Map.groupBy(outcomes, ({className}) => className);
-	const byWindow = Map.groupBy(outcomes, ({askedAt}) => Math.floor(askedAt / windowMs));
+	const byWindow = Map.groupBy(outcomes, ({startedAt: askedAt}) => Math.floor(askedAt / windowMs));
 	return {
 		classes: Object.fromEntries(byClass.entries().map(([name, list]) => [name, summarizeClass(list)])),
 		worth: measureWorth(outcomes),
@@ -34,7 +34,7 @@
 		firstLate: count('firstLate'),
 		pauseLate: count('pauseLate'),
 		refused: count('refused'),
-		turnedAway: outcomes.filter(({wasTurnedAway}) => wasTurnedAway).length,
+		turnedAway: outcomes.filter(({wasRefused: wasTurnedAway}) => wasTurnedAway).length,
 		failed: count('failed'),
 		abandoned: count('abandoned'),
 		worth: measureWorth(outcomes),
--- a/emulator/fleet/test/large-fleet.test.ts
+++ b/emulator/fleet/test/large-fleet.test.ts
@@ -28,7 +28,7 @@
 		...large,
 		nodes: 64,
 		newsMs: 250,
-		memberTurns: 1,
+		intervalsPerMemberUpdate: 1,
 		lengthMs: 9000,
 		slowness: large.slowness.slice(0, engines),
 		faults: [],
--- a/emulator/loads/src/create-drafts-beside-queries.ts
+++ b/emulator/loads/src/create-drafts-beside-queries.ts
@@ -4,29 +4,29 @@
 A large engine: steps of some 6 ms, 50 ms to read a full chunk.
 */
 const engine: EmulationLoad['engine'] = {
-	slots: 64, queue: 128, cacheTokens: 330_000, stepMs: 5.5, stepMsPerRun: 0.03, stepMsPerThousand: 0.015, tokensPerMs: 43, chunkTokens: 2048, msPerMillionPairs: 0.5, tokensPerEvent: 3,
+	slots: 64, queue: 128, cacheTokens: 330_000, stepMs: 5.5, stepMsPerSequence: 0.03, stepMsPerThousandTokens: 0.015, prefillTokensPerMs: 43, prefillTokensPerStep: 2048, msPerMillionPairs: 0.5, tokensPerEvent: 3,
 };
 /**
 Short questions with long answers, whose pauses callers notice.
 */
 const queries: CallerClass = {
 	name: 'queries', perSecond: 25, bursts: [], objectiveMs: 600, pauseMs: 200, timeoutMs: 15_000, priority: 0, isResumable: false, attempts: 1,
-	own: {mean: 630, spread: 1, most: 3300}, shared: [{
-		mean: 120, spread: 0.4, most: 300, subjects: 8,
+	own: {mean: 630, spread: 1, maximum: 3300}, shared: [{
+		mean: 120, spread: 0.4, maximum: 300, subjects: 8,
 	}, {
-		mean: 80, spread: 0.7, most: 240, subjects: 224,
-	}], events: {mean: 97, spread: 0.7, most: 250}, worth: 1.7, lateWorth: 0.16, retries: 1,
+		mean: 80, spread: 0.7, maximum: 240, subjects: 224,
+	}], events: {mean: 97, spread: 0.7, maximum: 250}, worth: 1.7, lateWorth: 0.16, retries: 1,
 };
 /**
 Long prompts with short answers about subjects that come again.
 */
 const drafts: CallerClass = {
 	name: 'drafts', perSecond: 12, bursts: [], objectiveMs: 600, pauseMs: 300, timeoutMs: 6000, priority: 1, isResumable: true, attempts: 2,
-	own: {mean: 2900, spread: 1, most: 40_000}, shared: [{
-		mean: 2500, spread: 0.4, most: 6300, subjects: 4,
+	own: {mean: 2900, spread: 1, maximum: 40_000}, shared: [{
+		mean: 2500, spread: 0.4, maximum: 6300, subjects: 4,
 	}, {
-		mean: 3800, spread: 0.7, most: 11_000, subjects: 74,
-	}], events: {mean: 17, spread: 1.4, most: 70}, worth: 3.6, lateWorth: 1.1, retries: 1,
+		mean: 3800, spread: 0.7, maximum: 11_000, subjects: 74,
+	}], events: {mean: 17, spread: 1.4, maximum: 70}, worth: 3.6, lateWorth: 1.1, retries: 1,
 };
 
 /**
@@ -42,7 +42,7 @@
 		lengthMs: 24_000,
 		nodes: 9,
 		newsMs: 20,
-		memberTurns: 1,
+		intervalsPerMemberUpdate: 1,
 		linkMs: 3,
 		slowness: [1, 1, 1, 1, 1.28, 1.28],
 		engine,
