--- a/emulator/engine/src/create-engine.ts
+++ b/emulator/engine/src/create-engine.ts
@@ -6,152 +6,152 @@
 const tokensPerThousand = 1000;
 const pairsPerMillion = 1_000_000;
 
-type Run = {
+type Sequence = {
 	readonly job: EngineJob;
 	readonly order: number;
 	/**
-	Prompt tokens that are still to be read.
+	Prompt tokens still to prefill.
 	*/
-	unread: number;
+	pendingPrefill: number;
 	/**
-	Tokens in memory for this request alone.
+	Prompt and output tokens of this request in the KV cache.
 	*/
-	context: number;
+	contextTokens: number;
 	/**
-	Tokens made, and events that came out.
+	Output tokens generated, and stream events sent.
 	*/
-	made: number;
-	events: number;
+	generatedTokens: number;
+	sentEvents: number;
 };
 
 /**
- Creates an emulated engine. It reads prompts one after the other, in the order in which they were admitted, up to a number
- of tokens a step, and makes one token a step for each request that was read.
+ Creates an emulated engine with continuous batching. It prefills prompts in the order of admission, with a limit on the
+ tokens of a step, and generates one token a step for each request whose prefill is complete.
 
- @param speed - Times and sizes of the engine.
- @param everKept - Parts that some engine of the pool has read; reading them again is waste. Filled in by the engine.
+ @param everCached - Prompt parts that some engine of the pool has prefilled; prefilling them again counts as recomputed. The
+ engine adds to it.
  @example
- const engine = createEngine(speed);
+ const engine = createEngine(profile);
  engine.add(job);
  const milliseconds = engine.startStep();
  engine.endStep();
  */
-export function createEngine(speed: EngineProfile, everKept = new Set<string>()): Engine {
-	const memory = createPrefixCache();
-	let waiting: Run[] = [];
-	let running: Run[] = [];
-	let chunks = new Map<Run, number>();
+export function createEngine(profile: EngineProfile, everCached = new Set<string>()): Engine {
+	const prefixCache = createPrefixCache();
+	let waiting: Sequence[] = [];
+	let running: Sequence[] = [];
+	let prefills = new Map<Sequence, number>();
 	let slowness = 1;
 	let order = 0;
 	let prefilledTokens = 0;
 	let recomputedTokens = 0;
 	let preempted = 0;
 
-	function countInUse(): number {
+	function countTokensInUse(): number {
 		let tokens = 0;
-		for (const run of running) {
-			tokens += run.context;
+		for (const sequence of running) {
+			tokens += sequence.contextTokens;
 		}
 
 		return tokens;
 	}
 
-	function startReading(run: Run): void {
-		let kept = 0;
-		let isPrefixKept = true;
-		for (const {id, tokens} of run.job.shared) {
-			isPrefixKept &&= memory.has(id);
-			kept += isPrefixKept ? tokens : 0;
-			recomputedTokens += !isPrefixKept && everKept.has(id) ? tokens : 0;
+	function startPrefill(sequence: Sequence): void {
+		let cachedTokens = 0;
+		let isPrefixCached = true;
+		for (const {id, tokens} of sequence.job.shared) {
+			isPrefixCached &&= prefixCache.has(id);
+			cachedTokens += isPrefixCached ? tokens : 0;
+			recomputedTokens += !isPrefixCached && everCached.has(id) ? tokens : 0;
 		}
 
-		run.unread = Math.max(1, run.job.promptTokens - kept);
-		run.context = run.job.promptTokens + run.made;
-		for (const {id, tokens} of run.job.shared) {
-			memory.add(id, tokens);
-			everKept.add(id);
+		sequence.pendingPrefill = Math.max(1, sequence.job.promptTokens - cachedTokens);
+		sequence.contextTokens = sequence.job.promptTokens + sequence.generatedTokens;
+		for (const {id, tokens} of sequence.job.shared) {
+			prefixCache.add(id, tokens);
+			everCached.add(id);
 		}
 	}
 
-	function startReadingOf(run: Run, left: number): number {
-		const tokens = Math.min(run.unread, left);
-		chunks.set(run, tokens);
+	function addPrefill(sequence: Sequence, budget: number): number {
+		const tokens = Math.min(sequence.pendingPrefill, budget);
+		prefills.set(sequence, tokens);
 		return tokens;
 	}
 
 	/**
-	Admits waiting requests by urgency, as long as the step has tokens left to read and the memory has room.
+	Admits waiting requests by urgency while the step has prefill tokens left and the KV cache has room.
 	*/
-	function admit(left: number): void {
-		let rest = left;
-		let inUse = countInUse();
-		waiting.sort((a, b) => compareRuns(a, b));
-		while (rest > 0 && running.length < speed.slots && waiting.length > 0) {
+	function admit(budget: number): void {
+		let remaining = budget;
+		let inUse = countTokensInUse();
+		waiting.sort((a, b) => compareSequences(a, b));
+		while (remaining > 0 && running.length < profile.slots && waiting.length > 0) {
 			const next = waiting[0]!;
-			if (running.length > 0 && inUse + next.job.promptTokens + next.made > speed.cacheTokens) {
+			if (running.length > 0 && inUse + next.job.promptTokens + next.generatedTokens > profile.cacheTokens) {
 				return;
 			}
 
 			waiting = waiting.slice(1);
 			running.push(next);
-			startReading(next);
-			inUse += next.context;
-			rest -= startReadingOf(next, rest);
+			startPrefill(next);
+			inUse += next.contextTokens;
+			remaining -= addPrefill(next, remaining);
 		}
 	}
 
 	/**
-	Puts the newest of the least urgent requests back until the rest fits into memory.
+	Moves the newest of the least urgent requests back to the queue until the others fit into the KV cache.
 	*/
 	function applyPreemption(): void {
-		let inUse = countInUse();
-		while (inUse > speed.cacheTokens && running.length > 1) {
-			const last = running.toSorted((a, b) => compareRuns(b, a))[0]!;
-			running = running.filter(run => run !== last);
+		let inUse = countTokensInUse();
+		while (inUse > profile.cacheTokens && running.length > 1) {
+			const last = running.toSorted((a, b) => compareSequences(b, a))[0]!;
+			running = running.filter(sequence => sequence !== last);
 			waiting.push(last);
-			inUse -= last.context;
+			inUse -= last.contextTokens;
 			preempted++;
 		}
 
-		memory.shrink(speed.cacheTokens - inUse);
+		prefixCache.shrink(profile.cacheTokens - inUse);
 	}
 
 	function measureStep(): number {
-		let milliseconds = speed.stepMs + (speed.stepMsPerSequence * running.length) + (speed.stepMsPerThousandTokens * countInUse() / tokensPerThousand);
-		for (const [run, tokens] of chunks) {
-			const before = run.job.promptTokens - run.unread + (tokens / 2);
-			milliseconds += (tokens / speed.prefillTokensPerMs) + (tokens * before / pairsPerMillion * speed.msPerMillionPairs);
+		let milliseconds = profile.stepMs + (profile.stepMsPerSequence * running.length) + (profile.stepMsPerThousandTokens * countTokensInUse() / tokensPerThousand);
+		for (const [sequence, tokens] of prefills) {
+			const before = sequence.job.promptTokens - sequence.pendingPrefill + (tokens / 2);
+			milliseconds += (tokens / profile.prefillTokensPerMs) + (tokens * before / pairsPerMillion * profile.msPerMillionPairs);
 		}
 
 		return milliseconds;
 	}
 
-	function advanceRun(run: Run): void {
-		run.made++;
-		run.context++;
-		if ((run.made - 1) % speed.tokensPerEvent !== 0) {
+	function advanceSequence(sequence: Sequence): void {
+		sequence.generatedTokens++;
+		sequence.contextTokens++;
+		if ((sequence.generatedTokens - 1) % profile.tokensPerEvent !== 0) {
 			return;
 		}
 
-		run.events++;
-		run.job.onEvent(run.job.firstEvent + run.events - 1);
-		if (!(run.job.firstEvent + run.events >= run.job.events)) {
+		sequence.sentEvents++;
+		sequence.job.onEvent(sequence.job.firstEvent + sequence.sentEvents - 1);
+		if (!(sequence.job.firstEvent + sequence.sentEvents >= sequence.job.events)) {
 			return;
 		}
 
-		running = running.filter(other => other !== run);
-		run.job.onEnd();
+		running = running.filter(other => other !== sequence);
+		sequence.job.onEnd();
 	}
 
 	return {
 		add(job) {
-			if (running.length + waiting.length >= speed.slots + speed.queue) {
+			if (running.length + waiting.length >= profile.slots + profile.queue) {
 				job.onRefused();
 				return;
 			}
 
 			waiting.push({
-				job, order: order++, unread: job.promptTokens, context: 0, made: 0, events: 0,
+				job, order: order++, pendingPrefill: job.promptTokens, contextTokens: 0, generatedTokens: 0, sentEvents: 0,
 			});
 		},
 		remove(id) {
@@ -160,35 +160,35 @@
 		},
 		startStep() {
 			applyPreemption();
-			chunks = new Map();
-			let left = speed.prefillTokensPerStep;
-			for (const run of running) {
-				left -= startReadingOf(run, left);
+			prefills = new Map();
+			let budget = profile.prefillTokensPerStep;
+			for (const sequence of running) {
+				budget -= addPrefill(sequence, budget);
 			}
 
-			admit(left);
+			admit(budget);
 			return running.length === 0 ? undefined : measureStep() * slowness;
 		},
 		endStep() {
-			for (const [run, tokens] of chunks) {
-				if (!running.includes(run)) {
+			for (const [sequence, tokens] of prefills) {
+				if (!running.includes(sequence)) {
 					continue;
 				}
 
-				run.unread -= tokens;
+				sequence.pendingPrefill -= tokens;
 				prefilledTokens += tokens;
-				if (run.unread === 0) {
-					advanceRun(run);
+				if (sequence.pendingPrefill === 0) {
+					advanceSequence(sequence);
 				}
 			}
 
-			chunks = new Map();
+			prefills = new Map();
 		},
 		drop() {
 			waiting = [];
 			running = [];
-			chunks = new Map();
-			memory.clear();
+			prefills = new Map();
+			prefixCache.clear();
 		},
 		setSlowness(factor) {
 			slowness = factor;
@@ -198,8 +198,8 @@
 }
 
 /**
-The more urgent one first, and the earlier one of two alike.
+Orders by urgency, then by arrival.
 */
-function compareRuns(a: Run, b: Run): number {
+function compareSequences(a: Sequence, b: Sequence): number {
 	return a.job.urgency === b.job.urgency ? a.order - b.order : a.job.urgency - b.job.urgency;
 }
--- a/emulator/engine/src/create-prefix-cache.ts
+++ b/emulator/engine/src/create-prefix-cache.ts
@@ -1,38 +1,38 @@
 import type {PrefixCache} from './prefix-cache.ts';
 
 /**
- Creates an engine's memory of shared prompt parts; the least recently used go first.
+ Creates an engine's LRU cache of shared prompt parts.
 
  @example
- const memory = createPromptMemory();
- memory.add('felling-rules', 2500);
- memory.shrink(2000);
- memory.has('felling-rules'); // false
+ const cache = createPrefixCache();
+ cache.add('felling-rules', 2500);
+ cache.shrink(2000);
+ cache.has('felling-rules'); // false
  */
 export function createPrefixCache(): PrefixCache {
 	const parts = new Map<string, number>();
-	let sum = 0;
+	let totalTokens = 0;
 
 	return {
 		has: id => parts.has(id),
 		add(id, tokens) {
-			sum += tokens - (parts.get(id) ?? 0);
+			totalTokens += tokens - (parts.get(id) ?? 0);
 			parts.delete(id);
 			parts.set(id, tokens);
 		},
-		shrink(most) {
+		shrink(maximumTokens) {
 			for (const [id, tokens] of parts) {
-				if (sum <= most) {
+				if (totalTokens <= maximumTokens) {
 					return;
 				}
 
 				parts.delete(id);
-				sum -= tokens;
+				totalTokens -= tokens;
 			}
 		},
 		clear() {
 			parts.clear();
-			sum = 0;
+			totalTokens = 0;
 		},
 	};
 }
--- a/emulator/engine/src/engine-job.ts
+++ b/emulator/engine/src/engine-job.ts
@@ -1,5 +1,5 @@
 /**
-A request as an engine sees it. The functions tell what becomes of it.
+A request to an engine. The engine reports its progress through the callbacks.
 */
 export type EngineJob = {
 	readonly id: string;
@@ -9,18 +9,18 @@
 	*/
 	readonly shared: ReadonlyArray<{readonly id: string; readonly tokens: number}>;
 	/**
-	Events to make, and the number of the first.
+	Events of the whole answer, and the number of the first one to send.
 	*/
 	readonly events: number;
 	readonly firstEvent: number;
 	/**
-	0 first.
+	0 is the most urgent.
 	*/
 	readonly urgency: number;
 	readonly onEvent: (number: number) => void;
 	readonly onEnd: () => void;
 	/**
-	The engine is full or leaving; the request has not run.
+	Called when the queue is full; the request has not run.
 	*/
 	readonly onRefused: () => void;
 };
--- a/emulator/engine/src/engine-profile.ts
+++ b/emulator/engine/src/engine-profile.ts
@@ -3,34 +3,34 @@
 */
 export type EngineProfile = {
 	/**
-	Requests that run at once, and those that may wait beyond them.
+	Requests that run at once, and requests that may wait for a slot.
 	*/
 	readonly slots: number;
 	readonly queue: number;
 	/**
-	Tokens that its memory holds.
+	Size of the KV cache, in tokens.
 	*/
 	readonly cacheTokens: number;
 	/**
-	Time of a step that makes one token for each request, and what each request adds to it.
+	Base time of a step, and the time that each running request adds.
 	*/
 	readonly stepMs: number;
 	readonly stepMsPerSequence: number;
 	/**
-	What each thousand tokens in memory add to a step.
+	Time that each thousand tokens in use of the KV cache add to a step.
 	*/
 	readonly stepMsPerThousandTokens: number;
 	/**
-	Prompt tokens read in a millisecond, and the most that one step reads.
+	Prefill speed, and the maximum prompt tokens that one step prefills.
 	*/
 	readonly prefillTokensPerMs: number;
 	readonly prefillTokensPerStep: number;
 	/**
-	What a million pairs of a token read and a token before it add to reading.
+	Attention cost of prefill: time for each million pairs of a prompt token and a token before it.
 	*/
 	readonly msPerMillionPairs: number;
 	/**
-	Tokens in an event of a stream.
+	Output tokens in one event of a stream.
 	*/
 	readonly tokensPerEvent: number;
 };
--- a/emulator/engine/src/engine.ts
+++ b/emulator/engine/src/engine.ts
@@ -1,32 +1,32 @@
 import type {EngineJob} from './engine-job.ts';
 
 /**
-An emulated engine. The caller's loop decides when its steps begin.
+An emulated engine. Its owner runs the steps.
 */
 export type Engine = {
 	readonly add: (job: EngineJob) => void;
 	/**
-	Drops a request whose caller has left.
+	Removes a request whose caller has disconnected.
 	*/
 	readonly remove: (id: string) => void;
 	/**
-	Begins a step and tells how long it takes, in milliseconds; `undefined` when there is nothing to do.
+	Starts a step and returns its duration in milliseconds, or `undefined` without requests.
 	*/
 	readonly startStep: () => number | undefined;
 	/**
-	Ends the step that was begun: tokens and events come out.
+	Ends the step: adds its output tokens and sends events.
 	*/
 	readonly endStep: () => void;
 	/**
-	Loses all requests and all memory without a word.
+	Removes all requests and the cache, without calling back.
 	*/
 	readonly drop: () => void;
 	/**
-	Multiplies all times from here on.
+	Multiplies the times of later steps.
 	*/
 	readonly setSlowness: (factor: number) => void;
 	/**
-	Shared tokens that were read again after they had been kept, and all tokens read.
+	Prompt tokens prefilled, those of shared parts that some engine of the pool had prefilled before, and preemptions.
 	*/
 	readonly counts: () => {readonly prefilledTokens: number; readonly recomputedTokens: number; readonly preempted: number};
 };
--- a/emulator/engine/src/prefix-cache.ts
+++ b/emulator/engine/src/prefix-cache.ts
@@ -1,15 +1,15 @@
 /**
-Shared prompt parts that an engine keeps.
+Prompt parts whose KV cache entries an engine keeps.
 */
 export type PrefixCache = {
 	readonly has: (id: string) => boolean;
 	/**
-	Adds a part, or marks it as just used.
+	Adds a part, or marks it as the most recently used.
 	*/
 	readonly add: (id: string, tokens: number) => void;
 	/**
-	Drops parts until at most so many tokens are kept.
+	Evicts the least recently used parts until at most this many tokens are cached.
 	*/
-	readonly shrink: (most: number) => void;
+	readonly shrink: (maximumTokens: number) => void;
 	readonly clear: () => void;
 };
--- a/emulator/engine/test/engine.test.ts
+++ b/emulator/engine/test/engine.test.ts
@@ -6,7 +6,7 @@
 	type EngineProfile,
 } from '@valvesaddle/emulator-engine';
 
-const speed: EngineProfile = {
+const profile: EngineProfile = {
 	slots: 2, queue: 2, cacheTokens: 10_000, stepMs: 5, stepMsPerSequence: 0, stepMsPerThousandTokens: 0, prefillTokensPerMs: 50, prefillTokensPerStep: 2000, msPerMillionPairs: 0, tokensPerEvent: 3,
 };
 
@@ -29,7 +29,7 @@
 }
 
 /**
-Runs so many steps and tells how long they took.
+Runs steps and returns their total duration, in milliseconds.
 */
 function runSteps(engine: Engine, count: number): number {
 	let milliseconds = 0;
@@ -41,8 +41,8 @@
 	return milliseconds;
 }
 
-test('a prompt is read in chunks, then an event comes out with its first token and one with every third after it', t => {
-	const engine = createEngine(speed);
+test('a prompt is prefilled over several steps, then an event is sent with its first output token and with every third after it', t => {
+	const engine = createEngine(profile);
 	const {job, events, ends} = createJob('a');
 	engine.add(job);
 	t.equal(runSteps(engine, 1), 45);
@@ -56,8 +56,8 @@
 	t.end();
 });
 
-test('the more urgent prompt is read first, but not before one that was begun', t => {
-	const engine = createEngine(speed);
+test('the more urgent prompt is prefilled first, but not before one whose prefill has started', t => {
+	const engine = createEngine(profile);
 	const begun = createJob('begun', {urgency: 5});
 	engine.add(begun.job);
 	runSteps(engine, 1);
@@ -72,8 +72,8 @@
 	t.end();
 });
 
-test('shared parts are kept and read again only when memory ran short', t => {
-	const engine = createEngine({...speed, prefillTokensPerStep: 100_000});
+test('shared parts are cached and prefilled again only after eviction', t => {
+	const engine = createEngine({...profile, prefillTokensPerStep: 100_000});
 	const shared = (id: string) => [{id, tokens: 6000}];
 	for (const id of ['rules', 'rules', 'other', 'rules']) {
 		engine.add(createJob(id, {promptTokens: 7000, shared: shared(id), events: 1}).job);
@@ -84,9 +84,9 @@
 	t.end();
 });
 
-test('the newest of the least urgent requests is put back when memory runs out, and a full queue refuses', t => {
+test('the newest of the least urgent requests is preempted when the KV cache is full, and a full queue refuses', t => {
 	const engine = createEngine({
-		...speed, slots: 2, cacheTokens: 4010, prefillTokensPerStep: 100_000,
+		...profile, slots: 2, cacheTokens: 4010, prefillTokensPerStep: 100_000,
 	});
 	const urgent = createJob('urgent', {promptTokens: 2000, events: 5});
 	const routine = createJob('routine', {promptTokens: 2000, events: 5, urgency: 3});
--- a/emulator/loads/src/create-drafts-beside-faults.ts
+++ b/emulator/loads/src/create-drafts-beside-faults.ts
@@ -2,7 +2,7 @@
 import {createDraftsBesideQueries} from './create-drafts-beside-queries.ts';
 
 /**
- Creates the load of drafts beside queries with a larger burst, in which one engine goes dark and another crashes.
+ Creates the load of drafts beside queries with a larger burst, in which one engine becomes unresponsive and another crashes.
 
  @example
  createDraftsBesideFaults().faults.length; // 2
--- a/emulator/loads/src/create-drafts-beside-overload.ts
+++ b/emulator/loads/src/create-drafts-beside-overload.ts
@@ -8,8 +8,9 @@
 }
 
 /**
- Creates the load of drafts beside queries with engines that turn all requests away for four seconds: two of six that ask for a pause of
- 3 s, two that ask for none, then all for a pause of 1 s. One engine leaves and says so in its answers alone.
+ Creates the load of drafts beside queries with engines that refuse all requests: two of six for 4 s with a cooldown of 3 s,
+ two for 4 s without a cooldown, then all for 0.5 s with a cooldown of 1 s. One engine drains and signals it only in its
+ answers.
 
  @example
  createDraftsBesideOverload().faults.length; // 11
--- a/emulator/loads/src/create-drafts-beside-queries.ts
+++ b/emulator/loads/src/create-drafts-beside-queries.ts
@@ -1,13 +1,13 @@
 import type {CallerClass, EmulationLoad} from '@valvesaddle/emulator-fleet';
 
 /**
-A large engine: steps of some 6 ms, 50 ms to read a full chunk.
+A large engine: steps of about 6 ms, 50 ms to prefill the maximum tokens of a step.
 */
 const engine: EmulationLoad['engine'] = {
 	slots: 64, queue: 128, cacheTokens: 330_000, stepMs: 5.5, stepMsPerSequence: 0.03, stepMsPerThousandTokens: 0.015, prefillTokensPerMs: 43, prefillTokensPerStep: 2048, msPerMillionPairs: 0.5, tokensPerEvent: 3,
 };
 /**
-Short questions with long answers, whose pauses callers notice.
+Short prompts with long streamed answers and a pause objective.
 */
 const queries: CallerClass = {
 	name: 'queries', perSecond: 25, bursts: [], objectiveMs: 600, pauseMs: 200, timeoutMs: 15_000, priority: 0, isResumable: false, attempts: 1,
@@ -18,7 +18,7 @@
 	}], events: {mean: 97, spread: 0.7, maximum: 250}, worth: 1.7, lateWorth: 0.16, retries: 1,
 };
 /**
-Long prompts with short answers about subjects that come again.
+Long prompts with recurring shared parts, and short answers.
 */
 const drafts: CallerClass = {
 	name: 'drafts', perSecond: 12, bursts: [], objectiveMs: 600, pauseMs: 300, timeoutMs: 6000, priority: 1, isResumable: true, attempts: 2,
@@ -30,8 +30,8 @@
 };
 
 /**
- Creates a load of drafts with long prompts beside queries with long answers, on six engines of which two are slow. The
- drafts come in two bursts, the queries in one between them.
+ Creates a load of drafts (long prompts) and queries (long answers) on six engines, two of them slow. Drafts have two
+ bursts, queries one between them.
 
  @example
  createDraftsBesideQueries().classes.length; // 2
--- a/emulator/loads/src/create-large-fleet.ts
+++ b/emulator/loads/src/create-large-fleet.ts
@@ -1,11 +1,8 @@
 import type {CallerClass, EmulationLoad} from '@valvesaddle/emulator-fleet';
 
-/**
-Engines, and engines that are added empty.
-*/
 const engines = 55;
 /**
-A small engine: steps of some 3 ms, 17 ms to read a full chunk.
+A small engine: steps of about 3 ms, 17 ms to prefill the maximum tokens of a step.
 */
 const engine: EmulationLoad['engine'] = {
 	slots: 24, queue: 24, cacheTokens: 478_330, stepMs: 3.09, stepMsPerSequence: 0.02, stepMsPerThousandTokens: 0.007, prefillTokensPerMs: 61.8, prefillTokensPerStep: 1024, msPerMillionPairs: 0.4, tokensPerEvent: 7,
@@ -36,8 +33,8 @@
 };
 
 /**
- Creates the load of a large fleet: 195 nodes that hear of each other's work by way of relays, 55 engines of which a tenth are
- slow, drafts and queries in bursts.
+ Creates the load of a large fleet: 195 nodes that exchange load updates through relays, 55 engines of which a tenth are
+ slow, and bursts of drafts and queries.
 
  @example
  createLargeFleet().nodes; // 195
