--- a/emulator/fleet/src/caller-class.ts
+++ b/emulator/fleet/src/caller-class.ts
@@ -1,5 +1,5 @@
 /**
-A lognormal size: its mean, the spread of its logarithm, and its bound.
+A lognormal size: its mean, the standard deviation of its logarithm, and its maximum.
 */
 type Size = {
 	readonly mean: number;
@@ -24,18 +24,19 @@
 	readonly isResumable: boolean;
 	readonly attempts: number;
 	/**
-	Tokens of a request's own part, and its shared parts: each is drawn from so many subjects, the first ones more often.
+	Prompt tokens of a request's own part and of its shared parts. Each shared part is drawn from a number of subjects, the first
+	ones more often.
 	*/
 	readonly own: Size;
 	readonly shared: ReadonlyArray<Size & {readonly subjects: number}>;
 	readonly events: Size;
 	/**
-	Worth of an answer in time and of a late one.
+	Credit of a mean answer in time, and of a late one.
 	*/
 	readonly worth: number;
 	readonly lateWorth: number;
 	/**
-	How often a caller comes back after a refusal.
+	Maximum retries of a caller after refusals.
 	*/
 	readonly retries: number;
 };
--- a/emulator/fleet/src/caller-outcome.ts
+++ b/emulator/fleet/src/caller-outcome.ts
@@ -1,10 +1,10 @@
 /**
-How a caller's request ended, over all its tries.
+How a caller's request ended, over all its attempts.
 */
 export type CallerOutcome = {
 	readonly className: string;
 	/**
-	Time at which the caller first asked, in milliseconds.
+	Time of the first attempt, in milliseconds.
 	*/
 	readonly startedAt: number;
 	readonly end: 'inTime' | 'firstLate' | 'pauseLate' | 'refused' | 'failed' | 'abandoned';
--- a/emulator/fleet/src/class-report.ts
+++ b/emulator/fleet/src/class-report.ts
@@ -1,26 +1,26 @@
 /**
-What became of the requests of one class.
+Outcomes of the requests of one class.
 */
 export type ClassReport = {
 	readonly asked: number;
 	/**
-	First event within the objective and no pause over its own.
+	First event within the latency objective and no pause above the pause objective.
 	*/
 	readonly inTime: number;
 	readonly firstLate: number;
 	readonly pauseLate: number;
 	/**
-	Refused for good, and refused at least once.
+	Refused on the last attempt, and refused at least once.
 	*/
 	readonly refused: number;
 	readonly turnedAway: number;
 	readonly failed: number;
 	/**
-	Left by callers that saw no first event for too long.
+	Cancelled by callers that received no event for too long.
 	*/
 	readonly abandoned: number;
 	/**
-	Credit earned against credit owed.
+	Share of the maximum credit that was earned.
 	*/
 	readonly worth: number;
 };
--- a/emulator/fleet/src/create-emulated-endpoint.ts
+++ b/emulator/fleet/src/create-emulated-endpoint.ts
@@ -8,48 +8,48 @@
 type EmulatedEndpointOptions = {
 	readonly id: string;
 	readonly clock: EmulationClock;
-	readonly speed: EngineProfile;
+	readonly profile: EngineProfile;
 	readonly slowness: number;
 	readonly linkMs: number;
 	/**
-	Parts of prompts that some engine has read.
+	Prompt parts that some engine has prefilled.
 	*/
-	readonly everKept: Set<string>;
+	readonly everCached: Set<string>;
 	readonly random: () => number;
 	/**
-	Time for which the engine asks for no more requests when it is full.
+	Cooldown that the engine requests when it is full, in milliseconds.
 	*/
 	readonly fullRetryAfterMs: number | undefined;
 };
 
 /**
- Creates an emulated engine behind a link.
+ Creates an emulated endpoint: an engine behind a link.
 
  @example
- const endpoint = createEmulatedEndpoint({id: 'e-0', clock, speed, slowness: 1, linkMs: 1, everKept: new Set(), random, fullRetryAfterMs: undefined});
+ const endpoint = createEmulatedEndpoint({id: 'e-0', clock, profile, slowness: 1, linkMs: 1, everCached: new Set(), random, fullRetryAfterMs: undefined});
  endpoint.send(job, {node: 'n-0', onLost() {}, onRefused() {}});
  */
-export function createEmulatedEndpoint({id, clock, speed, slowness, linkMs, everKept, random, fullRetryAfterMs}: EmulatedEndpointOptions): EmulatedEndpoint {
-	const engine = createEngine(speed, everKept);
+export function createEmulatedEndpoint({id, clock, profile, slowness, linkMs, everCached, random, fullRetryAfterMs}: EmulatedEndpointOptions): EmulatedEndpoint {
+	const engine = createEngine(profile, everCached);
 	const open = new Map<string, () => void>();
 	const check = createNoticeCheck();
 	let overload: Overload | undefined;
 	let isLeaving = false;
 	let isStepping = false;
-	let isDark = false;
-	let life = 0;
+	let isUnresponsive = false;
+	let incarnation = 0;
 	engine.setSlowness(slowness);
 
 	function startSteps(): void {
-		const milliseconds = isStepping || isDark ? undefined : engine.startStep();
+		const milliseconds = isStepping || isUnresponsive ? undefined : engine.startStep();
 		if (milliseconds === undefined) {
 			return;
 		}
 
 		isStepping = true;
-		const startedIn = life;
+		const startedIncarnation = incarnation;
 		clock.add(milliseconds, () => {
-			if (startedIn !== life) {
+			if (startedIncarnation !== incarnation) {
 				return;
 			}
 
@@ -60,7 +60,7 @@
 	}
 
 	function removeAll(): void {
-		life++;
+		incarnation++;
 		isStepping = false;
 		engine.drop();
 	}
@@ -89,7 +89,7 @@
 		send(job, sender) {
 			open.set(job.id, sender.onLost);
 			clock.add(linkMs, () => {
-				if (isDark || !open.has(job.id)) {
+				if (isUnresponsive || !open.has(job.id)) {
 					return;
 				}
 
@@ -103,7 +103,7 @@
 					...job,
 					onEvent(number) {
 						answerLater(job.id, () => {
-							// The head of the answer comes with the first event.
+							// The headers of the answer are sent with the first event.
 							if (isLeaving && number === job.firstEvent) {
 								check.recordDraining(sender.node);
 							}
@@ -138,15 +138,15 @@
 				clock.add(linkMs, handler);
 			}
 		},
-		setUnresponsive(dark) {
-			isDark = dark;
+		setUnresponsive(isOn) {
+			isUnresponsive = isOn;
 			removeAll();
 		},
 		setSlowness(factor) {
 			engine.setSlowness(slowness * factor);
 		},
-		setOverload(kind) {
-			overload = kind;
+		setOverload(newOverload) {
+			overload = newOverload;
 		},
 		startDraining() {
 			isLeaving = true;
--- a/emulator/fleet/src/create-emulated-exchanges.ts
+++ b/emulator/fleet/src/create-emulated-exchanges.ts
@@ -6,34 +6,34 @@
 
 type EmulatedExchangesOptions = {
 	/**
-	The node whose exchanges they are.
+	Id of the node that sends.
 	*/
 	readonly node: string;
 	readonly endpoints: ReadonlyMap<string, EmulatedEndpoint>;
 	readonly findPrompt: (id: string) => Prompt | undefined;
 	/**
-	Is told of each connection that is opened.
+	Called on each new connection.
 	*/
 	readonly onConnect: () => void;
 };
 
 /**
-Time for which an idle connection is kept, in milliseconds, as the gateway has it.
+Time for which an idle connection is kept, in milliseconds; the same as in the gateway.
 */
 const keepAliveMs = 4000;
 const okStatus = 200;
 const notRunStatus = 503;
 
 /**
- Creates a node's exchanges with emulated engines. A connection is counted, but opening one takes no time here.
+ Creates a node's client of emulated engines. New connections are counted, but opening one takes no time.
 
  @example
  const exchanges = createEmulatedExchanges({node: 'n-0', endpoints, findPrompt: id => prompts.get(id), onConnect() {}});
  */
 export function createEmulatedExchanges({node, endpoints, findPrompt, onConnect}: EmulatedExchangesOptions): ExchangeClient {
-	let count = 0;
+	let jobs = 0;
 	/**
-	When the idle connections to each address were given back.
+	Release times of the idle connections, by address.
 	*/
 	const idle = new Map<string, number[]>();
 
@@ -43,12 +43,12 @@
 	}
 
 	function takeConnection(address: string): void {
-		const kept = listIdle(address);
-		if (kept.length === 0) {
+		const idleSince = listIdle(address);
+		if (idleSince.length === 0) {
 			onConnect();
 		}
 
-		idle.set(address, kept.slice(0, -1));
+		idle.set(address, idleSince.slice(0, -1));
 	}
 
 	function releaseConnection(address: string): void {
@@ -65,8 +65,8 @@
 				throw new TypeError(`no endpoint ${address} or request ${id}`);
 			}
 
-			const jobId = `${id} ${count++}`;
-			let isBegun = false;
+			const jobId = `${id} ${jobs++}`;
+			let hasStarted = false;
 			takeConnection(address);
 			listener.onSent();
 			endpoint.send({
@@ -77,8 +77,8 @@
 				firstEvent: Number(lastEventId) + 1,
 				urgency: Number(urgency),
 				onEvent(number) {
-					if (!isBegun) {
-						isBegun = true;
+					if (!hasStarted) {
+						hasStarted = true;
 						listener.onHead(okStatus, {'x-request-id': id, ...(endpoint.isLeaving() && {'x-leaving': '1'})});
 					}
 
@@ -104,12 +104,12 @@
 					endpoint.abort(jobId);
 				},
 				resume() {
-					// Callers of the emulator read at once.
+					// Emulated callers read without delay.
 				},
 			};
 		},
 		closeAddress() {
-			// Connections of the emulator end with their exchanges.
+			// No connection is open between exchanges.
 		},
 		async close() {
 			// Nothing is open between exchanges.
--- a/emulator/fleet/src/create-emulated-node.ts
+++ b/emulator/fleet/src/create-emulated-node.ts
@@ -19,7 +19,7 @@
 };
 
 /**
-Second tries as the gateway's settings have them by default.
+Retry budget: the defaults of the gateway's settings.
 */
 const retryRatio = 0.2;
 const retrySlack = 50;
@@ -27,27 +27,27 @@
 
 const logger: Logger = {
 	info() {
-		// Figures of an emulation come from its callers.
+		// Not logged.
 	},
 	warn() {
-		// As above.
+		// Not logged.
 	},
 	error() {
-		// As above.
+		// Not logged.
 	},
 	async flush() {
-		// Nothing is kept.
+		// Nothing is buffered.
 	},
 };
 const metrics: Metrics = {
 	increment() {
-		// As above.
+		// Not recorded.
 	},
 	gauge() {
-		// As above.
+		// Not recorded.
 	},
 	timing() {
-		// As above.
+		// Not recorded.
 	},
 	total: () => 0,
 	totals: () => ({}),
@@ -57,19 +57,19 @@
 };
 
 /**
- Creates a node of the emulation from the real packages.
+ Creates an emulated node from the packages of the gateway.
 
  @example
  const node = createEmulatedNode({id: 'n-0', load, selection, admission, exchanges, endpoints: ['e-0']});
  */
 export function createEmulatedNode({id, load, selection, admission, exchanges, endpoints}: EmulatedNodeOptions): EmulatedNode {
-	let handlePlaced = (): void => {
-		// Nobody asked to be told.
+	let handlePlacement = (): void => {
+		// No handler is set.
 	};
 
 	const selector = createSelector({
 		...selection, hasConnection: address => exchanges.hasIdle(address), onPlaced() {
-			handlePlaced();
+			handlePlacement();
 		},
 	});
 	selector.setPools([{name: 'engines', engine: {slots: load.engine.slots, cacheTokens: load.engine.cacheTokens}}]);
@@ -86,7 +86,7 @@
 		id,
 		selector,
 		setOnPlacement(handle) {
-			handlePlaced = handle;
+			handlePlacement = handle;
 		},
 		forwarder: createForwarder({
 			wire: emulatorWire, selector, exchanges, budget, waits: createUsualWaits(), admission, logger, metrics,
--- a/emulator/fleet/src/create-emulation-clock.ts
+++ b/emulator/fleet/src/create-emulation-clock.ts
@@ -9,8 +9,8 @@
 };
 
 /**
- Creates the clock of an emulation. It moves the paused clock of the runtime along, which the timers of the real packages
- hang on.
+ Creates the clock of an emulation. It also advances the paused clock of the process, which drives the timers of the
+ packages under test.
 
  @example
  const clock = createEmulationClock(paused);
--- a/emulator/fleet/src/create-notice-check.ts
+++ b/emulator/fleet/src/create-notice-check.ts
@@ -1,14 +1,15 @@
 import type {NoticeCheck} from './notice-check.ts';
 
 /**
-Requests that may be under way when an engine asks for a pause, and those that it may get within it.
+Time in which requests that were sent before a cooldown may still arrive, in milliseconds, and requests allowed after it until
+the cooldown ends.
 */
 const cooldownSlackMs = 500;
-const mostInCooldown = 2;
+const maximumCooldownArrivals = 2;
 /**
-Time after which an engine that says that it leaves gets no more requests, in milliseconds.
+Time in which a draining engine may still receive requests, in milliseconds.
 */
-const leaveSlackMs = 2000;
+const drainingSlackMs = 2000;
 
 type Cooldown = {
 	readonly from: number;
@@ -17,7 +18,7 @@
 };
 
 /**
- Creates the check of what an engine gets after it has said something of itself, by node.
+ Creates the check that nodes respect the cooldowns and the draining signal of one engine.
 
  @example
  const check = createNoticeCheck();
@@ -27,8 +28,8 @@
  */
 export function createNoticeCheck(): NoticeCheck {
 	const cooldowns = new Map<string, Cooldown[]>();
-	const leaves = new Map<string, number>();
-	let broken = 0;
+	const drainingSince = new Map<string, number>();
+	let brokenNotices = 0;
 
 	function listOpen(node: string): readonly Cooldown[] {
 		const now = performance.now();
@@ -43,16 +44,16 @@
 			cooldowns.set(node, [...(cooldowns.get(node) ?? []), {from: now + cooldownSlackMs, until: now + milliseconds, arrivals: 0}]);
 		},
 		recordDraining(node) {
-			leaves.set(node, leaves.get(node) ?? performance.now());
+			drainingSince.set(node, drainingSince.get(node) ?? performance.now());
 		},
 		recordArrival(node) {
 			for (const cooldown of listOpen(node)) {
 				cooldown.arrivals++;
-				broken += cooldown.arrivals === mostInCooldown + 1 ? 1 : 0;
+				brokenNotices += cooldown.arrivals === maximumCooldownArrivals + 1 ? 1 : 0;
 			}
 
-			broken += performance.now() > (leaves.get(node) ?? Infinity) + leaveSlackMs ? 1 : 0;
+			brokenNotices += performance.now() > (drainingSince.get(node) ?? Infinity) + drainingSlackMs ? 1 : 0;
 		},
-		countBrokenNotices: () => broken,
+		countBrokenNotices: () => brokenNotices,
 	};
 }
--- a/emulator/fleet/src/create-prompt-source.ts
+++ b/emulator/fleet/src/create-prompt-source.ts
@@ -8,19 +8,19 @@
 };
 
 /**
-How the credit of a generation grows with its size, against the mean of its class.
+Credit of an answer relative to its class: a fixed part, a part proportional to its size over the mean size, and the maximum.
 */
 const fixedCredit = 0.3;
-const grownCredit = 0.7;
-const mostCredit = 4;
+const sizeCredit = 0.7;
+const maximumCredit = 4;
 const tokensPerOutput = 10;
 /**
-Subjects earlier in the list are drawn more often: the draw is raised to this power.
+Exponent of the uniform draw of a subject; above 1, the first subjects are drawn more often.
 */
 const skew = 1.5;
 
 /**
- Creates the source of a seeded run's prompts.
+ Creates a source of random prompts.
 
  @example
  const source = createPromptSource(createRandom(7), 3);
@@ -56,7 +56,7 @@
 			const promptTokens = shared.reduce((sum, {tokens}) => sum + tokens, own);
 			const outputTokens = events * tokensPerEvent;
 			const meanSize = kind.shared.reduce((sum, {mean}) => sum + mean, kind.own.mean) + (tokensPerOutput * kind.events.mean * tokensPerEvent);
-			const credit = Math.min(mostCredit, fixedCredit + (grownCredit * (promptTokens + (tokensPerOutput * outputTokens)) / meanSize));
+			const credit = Math.min(maximumCredit, fixedCredit + (sizeCredit * (promptTokens + (tokensPerOutput * outputTokens)) / meanSize));
 			const prompt = {
 				metadata: {
 					requestId, waitMs: undefined, apiKey: undefined, promptTokens, outputTokens, parts: [...shared, {id: requestId, tokens: own}], lastEventId: -1,
@@ -68,7 +68,7 @@
 			prompts.set(requestId, prompt);
 			return prompt;
 		},
-		// An attempt's id is the request's, a blank and its number.
+		// The id of an attempt is the request's id, a space and the number of the attempt.
 		find: id => prompts.get(id.split(' ', 1)[0] ?? ''),
 	};
 }
--- a/emulator/fleet/src/emulated-endpoint.ts
+++ b/emulator/fleet/src/emulated-endpoint.ts
@@ -3,32 +3,32 @@
 import type {Overload} from './overload.ts';
 
 /**
-An engine with its connections.
+An emulated engine with its connections.
 */
 export type EmulatedEndpoint = {
 	readonly id: string;
 	readonly send: (job: Omit<EngineJob, 'onRefused'>, sender: EmulatedSender) => void;
 	readonly abort: (id: string) => void;
 	/**
-	Breaks all connections and loses what the engine holds.
+	Breaks all connections, and removes all requests and the cache of the engine.
 	*/
 	readonly crash: () => void;
 	/**
-	Stops without a word, or starts again empty.
+	Makes the engine send nothing, or restarts it. Both remove its requests and cache.
 	*/
-	readonly setUnresponsive: (isDark: boolean) => void;
+	readonly setUnresponsive: (isUnresponsive: boolean) => void;
 	readonly setSlowness: (factor: number) => void;
 	/**
-	Sets how requests are refused; `undefined` takes them again.
+	Sets how requests are refused; `undefined` accepts them again.
 	*/
 	readonly setOverload: (overload: Overload | undefined) => void;
 	/**
-	From here on each answer says that the engine leaves.
+	Signals in each later answer that the engine drains.
 	*/
 	readonly startDraining: () => void;
 	readonly isLeaving: () => boolean;
 	/**
-	Times at which a node did not heed what the engine had said of itself.
+	Number of times that a node ignored a cooldown or draining signal of the engine.
 	*/
 	readonly countBrokenNotices: () => number;
 	readonly counts: () => {readonly prefilledTokens: number; readonly recomputedTokens: number; readonly preempted: number};
--- a/emulator/fleet/src/emulated-node.ts
+++ b/emulator/fleet/src/emulated-node.ts
@@ -2,14 +2,14 @@
 import type {Selector} from '@valvesaddle/selection';
 
 /**
-The deciding part of a gateway node.
+The selector and forwarder of an emulated gateway node.
 */
 export type EmulatedNode = {
 	readonly id: string;
 	readonly selector: Selector;
 	readonly forwarder: Forwarder;
 	/**
-	Sets what is told of each request that is placed.
+	Sets the handler that is called on each placement.
 	*/
 	readonly setOnPlacement: (handle: () => void) => void;
 };
--- a/emulator/fleet/src/emulated-sender.ts
+++ b/emulator/fleet/src/emulated-sender.ts
@@ -1,14 +1,14 @@
 /**
-Who sent a request to an emulated engine.
+The sender of a request to an emulated engine.
 */
 export type EmulatedSender = {
 	readonly node: string;
 	/**
-	The connection broke.
+	Called when the connection breaks.
 	*/
 	readonly onLost: () => void;
 	/**
-	The engine refuses before running the request, and may ask for no more for some time.
+	Called when the engine refuses the request before running it. The cooldown that it requests, if any, is in milliseconds.
 	*/
 	readonly onRefused: (retryAfterMs: number | undefined) => void;
 };
--- a/emulator/fleet/src/emulation-clock.ts
+++ b/emulator/fleet/src/emulation-clock.ts
@@ -1,10 +1,10 @@
 /**
-A clock that jumps from event to event.
+A clock that advances from event to event. Times are in milliseconds.
 */
 export type EmulationClock = {
 	readonly now: () => number;
 	/**
-	Runs a handler so many milliseconds from now.
+	Runs a handler after a delay.
 	*/
 	readonly add: (milliseconds: number, handler: () => void) => void;
 	/**
--- a/emulator/fleet/src/emulation-fault.ts
+++ b/emulator/fleet/src/emulation-fault.ts
@@ -1,7 +1,11 @@
 /**
-What happens to an engine: it loses its requests and connections and comes back (`crash`), is silent and comes back empty
-(`dark`), takes longer for everything (`slow`), refuses requests and asks for a pause (`overload`), or says in its answers that it
-leaves while its entry does not (`leave`).
+A fault of an engine:
+
+- `crash`: loses its requests, connections and cache, and accepts requests again at once.
+- `dark`: sends nothing, then restarts without its requests and cache.
+- `slow`: takes longer for each step.
+- `overload`: refuses requests, with or without a cooldown.
+- `leave`: signals in its answers that it drains, but not in its entry in the store.
 */
 export type EmulationFault = {
 	readonly kind: 'crash' | 'dark' | 'slow' | 'overload' | 'leave';
@@ -9,11 +13,11 @@
 	readonly atMs: number;
 	readonly forMs: number;
 	/**
-	Factor on all times of a slow engine, or part of the requests that an overloaded one refuses.
+	Factor on the times of a slow engine, or share of requests that an overloaded one refuses.
 	*/
 	readonly factor: number;
 	/**
-	Time for which an overloaded engine asks for no more requests; without it it refuses only.
+	Cooldown that an overloaded engine requests; none if omitted.
 	*/
 	readonly retryAfterMs?: number;
 };
--- a/emulator/fleet/src/emulation-load.ts
+++ b/emulator/fleet/src/emulation-load.ts
@@ -3,20 +3,23 @@
 import type {EmulationFault} from './emulation-fault.ts';
 
 /**
-A site and what comes to it. Times are in milliseconds.
+An emulated deployment and the requests that it receives. Times are in milliseconds.
 */
 export type EmulationLoad = {
 	readonly name: string;
 	readonly lengthMs: number;
 	readonly nodes: number;
 	/**
-	How often nodes tell each other of their work, and how long that and a request to an engine are under way.
+	Interval between the load updates of a node.
 	*/
 	readonly newsMs: number;
 	/**
-	Turns of relays for each one of members; 1 tells all nodes each time.
+	Relays send to their members once in this many intervals, and to other relays in each interval.
 	*/
 	readonly intervalsPerMemberUpdate: number;
+	/**
+	One-way latency between nodes, and between nodes and engines.
+	*/
 	readonly linkMs: number;
 	/**
 	Factor on all times, for each engine.
@@ -25,7 +28,7 @@
 	readonly engine: EngineProfile;
 	readonly classes: readonly CallerClass[];
 	/**
-	Time for which a full engine asks for no more requests; without it it refuses only.
+	Cooldown that a full engine requests when it refuses; none if omitted.
 	*/
 	readonly fullRetryAfterMs?: number;
 	readonly faults: readonly EmulationFault[];
--- a/emulator/fleet/src/emulation-report.ts
+++ b/emulator/fleet/src/emulation-report.ts
@@ -1,18 +1,18 @@
 import type {ClassReport} from './class-report.ts';
 
 /**
-Figures of one emulated run.
+Results of one emulation.
 */
 export type EmulationReport = {
 	readonly classes: Readonly<Record<string, ClassReport>>;
 	/**
-	Credit earned against credit owed over all classes, of the worst class, and of the worst second pair.
+	Share of the maximum credit that was earned: over all classes, in the worst class, and in the worst window.
 	*/
 	readonly worth: number;
 	readonly worstClass: number;
 	readonly worstWindow: number;
 	/**
-	Prompt tokens that engines read, and those of shared parts that they had kept before.
+	Prompt tokens that engines prefilled, those of shared parts that some engine had prefilled before, and preempted requests.
 	*/
 	readonly readTokens: number;
 	readonly readAgainTokens: number;
@@ -22,7 +22,7 @@
 	*/
 	readonly connections: number;
 	/**
-	Times at which a node did not heed what an engine had said of itself.
+	Number of times that a node ignored a cooldown or draining signal of an engine.
 	*/
 	readonly brokenNotices: number;
 };
--- a/emulator/fleet/src/emulator-wire.ts
+++ b/emulator/fleet/src/emulator-wire.ts
@@ -3,11 +3,11 @@
 const notRunStatus = 503;
 
 /**
-Headers of the emulated exchanges: the request's id, its rank and the event after which it goes on.
+Wire format of emulated exchanges: request headers are the request's id, its urgency and the id of the last event received.
 */
 export const emulatorWire: WireFormat = {
 	readRequest() {
-		throw new TypeError('callers of the emulator bring decoded requests');
+		throw new TypeError('emulated callers pass decoded requests');
 	},
 	writeRequest: (rawHeaders, {urgency, lastEventId}) => [...rawHeaders, String(urgency ?? 0), String(lastEventId)],
 	readAnswer: (status, headers) => ({
--- a/emulator/fleet/src/notice-check.ts
+++ b/emulator/fleet/src/notice-check.ts
@@ -1,18 +1,18 @@
 /**
-Checks that nodes heed what an engine has said of itself.
+Checks that nodes respect the cooldowns and the draining signal of an engine.
 */
 export type NoticeCheck = {
 	/**
-	The engine asked a node for no requests for so many milliseconds.
+	Records that the engine requested a cooldown from a node, in milliseconds.
 	*/
 	readonly recordCooldown: (node: string, milliseconds: number) => void;
 	/**
-	The engine told a node that it leaves.
+	Records that the engine signalled to a node that it drains.
 	*/
 	readonly recordDraining: (node: string) => void;
 	readonly recordArrival: (node: string) => void;
 	/**
-	Pauses with more requests than a node may send, and requests that came too late after a leave.
+	Counts cooldowns in which a node sent too many requests, and requests that arrived too long after the draining signal.
 	*/
 	readonly countBrokenNotices: () => number;
 };
--- a/emulator/fleet/src/overload.ts
+++ b/emulator/fleet/src/overload.ts
@@ -1,13 +1,13 @@
 /**
-How an overloaded engine refuses.
+How an overloaded engine refuses requests.
 */
 export type Overload = {
 	/**
-	Part of the requests that it refuses.
+	Share of requests that it refuses.
 	*/
 	readonly share: number;
 	/**
-	Time for which it asks for no more requests, in milliseconds; `undefined` when it does not ask.
+	Cooldown that it requests, in milliseconds; `undefined` for none.
 	*/
 	readonly retryAfterMs: number | undefined;
 };
--- a/emulator/fleet/src/prompt.ts
+++ b/emulator/fleet/src/prompt.ts
@@ -1,13 +1,13 @@
 import type {RequestFacts} from '@valvesaddle/gateway-types';
 
 /**
-A caller's request with what only the engine learns.
+A caller's request, with its number of events and its credit.
 */
 export type Prompt = {
 	readonly metadata: RequestFacts;
 	readonly events: number;
 	/**
-	Credit of an answer in time and of a late one.
+	Credit of an answer in time, and of a late one.
 	*/
 	readonly worth: number;
 	readonly lateWorth: number;
--- a/emulator/fleet/src/run-emulation.ts
+++ b/emulator/fleet/src/run-emulation.ts
@@ -20,15 +20,15 @@
 
 const msPerSecond = 1000;
 /**
-Added to the seed for the draws of the nodes, which must not follow those of the load.
+Added to the seed for the random numbers of the nodes, so that they are independent of those of the load.
 */
 const drawSeed = 1_000_003;
 /**
-Added to the seed for the draws of the engines.
+Added to the seed for the random numbers of the engines.
 */
 const faultSeed = 2_000_003;
 /**
-Time after the last request in which what is open may end, in milliseconds.
+Time after the last arrival in which open requests may end, in milliseconds.
 */
 const tailMs = 20_000;
 
@@ -60,8 +60,8 @@
 };
 
 /**
- Runs a load against emulated engines through the real decisions of the nodes, and sums up what its callers saw. The clock of
- the runtime is paused and its random numbers are seeded meanwhile.
+ Runs a load against emulated engines through the forwarders and selectors of the nodes, and summarizes the callers'
+ outcomes. The clock of the process is paused and `Math.random` is seeded meanwhile.
 
  @example
  runEmulation({load, seed: 7, selection, admission}).worth; // 0.93
@@ -69,16 +69,16 @@
 export function runEmulation({load, seed, selection, admission}: EmulationOptions): EmulationReport {
 	const paused = new Clock();
 	const exit = paused.enter();
-	const {random: unseeded} = Math;
+	const {random: unseededRandom} = Math;
 	Math.random = createRandom(seed + drawSeed);
 	try {
 		const random = createRandom(seed);
 		const clock = createEmulationClock(paused);
 		const source = createPromptSource(random, load.engine.tokensPerEvent);
-		const everKept = new Set<string>();
+		const everCached = new Set<string>();
 		const faultRandom = createRandom(seed + faultSeed);
 		const endpoints = new Map(load.slowness.map((slowness, index) => [`e-${index}`, createEmulatedEndpoint({
-			id: `e-${index}`, clock, speed: load.engine, slowness, linkMs: load.linkMs, everKept, random: faultRandom, fullRetryAfterMs: load.fullRetryAfterMs,
+			id: `e-${index}`, clock, profile: load.engine, slowness, linkMs: load.linkMs, everCached, random: faultRandom, fullRetryAfterMs: load.fullRetryAfterMs,
 		})]));
 		let connections = 0;
 		const nodes = Array.from({length: load.nodes}, (_value, index) => createEmulatedNode({
@@ -116,10 +116,10 @@
 
 		clock.run(load.lengthMs + tailMs);
 		return {
-			...summarizeOutcomes(outcomes), ...countReading(endpoints.values().toArray()), connections, brokenNotices: endpoints.values().reduce((sum, endpoint) => sum + endpoint.countBrokenNotices(), 0),
+			...summarizeOutcomes(outcomes), ...countPrefill(endpoints.values().toArray()), connections, brokenNotices: endpoints.values().reduce((sum, endpoint) => sum + endpoint.countBrokenNotices(), 0),
 		};
 	} finally {
-		Math.random = unseeded;
+		Math.random = unseededRandom;
 		exit();
 	}
 }
@@ -135,18 +135,18 @@
 	const {clock, kind, random, lengthMs} = arrivals;
 	const now = clock.now();
 	const factor = kind.bursts.find(({atMs, forMs}) => now >= atMs && now < atMs + forMs)?.factor ?? 1;
-	const pauseMs = randomExponential.source(random)(kind.perSecond * factor / msPerSecond)();
-	if (now + pauseMs > lengthMs) {
+	const intervalMs = randomExponential.source(random)(kind.perSecond * factor / msPerSecond)();
+	if (now + intervalMs > lengthMs) {
 		return;
 	}
 
-	clock.add(pauseMs, () => {
+	clock.add(intervalMs, () => {
 		start();
 		startArrivals(arrivals, start);
 	});
 }
 
-function countReading(endpoints: readonly EmulatedEndpoint[]): Pick<EmulationReport, 'readTokens' | 'readAgainTokens' | 'preempted'> {
+function countPrefill(endpoints: readonly EmulatedEndpoint[]): Pick<EmulationReport, 'readTokens' | 'readAgainTokens' | 'preempted'> {
 	const counts = endpoints.map(endpoint => endpoint.counts());
 	return {
 		readTokens: counts.reduce((sum, {prefilledTokens}) => sum + prefilledTokens, 0),
--- a/emulator/fleet/src/start-caller.ts
+++ b/emulator/fleet/src/start-caller.ts
@@ -15,64 +15,65 @@
 };
 
 /**
-Longest silence that a caller bears before and between events: the longest of these.
+A caller gives up after this time without an event: the longest of a minimum, multiples of its latency objective and of its
+pause objective.
 */
-const leastSilenceMs = 2000;
-const silenceObjectives = 4;
-const silencePauses = 8;
+const minimumInactivityTimeoutMs = 2000;
+const inactivityObjectives = 4;
+const inactivityPauses = 8;
 /**
-Part of the time that is left for which a caller heeds the time to come back.
+A caller waits for at most this share of its remaining time before it retries.
 */
-const heededShare = 1 / 3;
+const maximumRetryAfterShare = 1 / 3;
 
 /**
- Starts a caller with one request, which it repeats as often as its class does after a refusal.
+ Starts a caller with one request, which it retries after a refusal as often as its class allows.
 
  @example
  startCaller({clock, kind, prompt, chooseNode: () => nodes[0], onOutcome() {}});
  */
 export function startCaller({clock, kind, prompt, chooseNode, onOutcome}: CallerOptions): void {
-	const askedAt = clock.now();
-	const silenceMs = Math.max(leastSilenceMs, silenceObjectives * kind.objectiveMs, silencePauses * kind.pauseMs);
-	let tries = 0;
-	let isOver = false;
+	const startedAt = clock.now();
+	const inactivityTimeoutMs = Math.max(minimumInactivityTimeoutMs, inactivityObjectives * kind.objectiveMs, inactivityPauses * kind.pauseMs);
+	let attempt = 0;
+	let isEnded = false;
 	let firstAt: number | undefined;
-	let lastAt = askedAt;
+	let lastAt = startedAt;
 	let longestPauseMs = 0;
 	let task: ForwardTask | undefined;
 
 	function settle(end: CallerOutcome['end']): void {
-		if (isOver) {
+		if (isEnded) {
 			return;
 		}
 
-		isOver = true;
+		isEnded = true;
 		const credits: Readonly<Record<CallerOutcome['end'], number>> = {
 			inTime: prompt.worth, firstLate: prompt.lateWorth, pauseLate: prompt.lateWorth, refused: 0, failed: 0, abandoned: 0,
 		};
 		onOutcome({
-			className: kind.name, startedAt: askedAt, end, wasRefused: tries > 1 || end === 'refused', owed: prompt.worth, earned: credits[end],
+			className: kind.name, startedAt, end, wasRefused: attempt > 1 || end === 'refused', owed: prompt.worth, earned: credits[end],
 		});
 	}
 
 	function handleEnd(): void {
 		if (firstAt === undefined) {
 			settle('failed');
-		} else if (firstAt - askedAt > kind.objectiveMs) {
+		} else if (firstAt - startedAt > kind.objectiveMs) {
 			settle('firstLate');
 		} else {
 			settle(longestPauseMs > kind.pauseMs ? 'pauseLate' : 'inTime');
 		}
 	}
 
-	function checkSilence(): void {
-		if (isOver) {
+	function checkInactivity(): void {
+		if (isEnded) {
 			return;
 		}
 
-		const leftMs = lastAt + silenceMs - clock.now();
-		if (leftMs > 0) {
-			clock.add(leftMs, checkSilence);
+		const remainingMs = lastAt + inactivityTimeoutMs - clock.now();
+		if (remainingMs > 0) {
+			clock.add(remainingMs, checkInactivity);
 			return;
 		}
 
@@ -81,13 +82,13 @@
 	}
 
 	function sendAgain(retryAfterMs: number): void {
-		const leftMs = askedAt + kind.timeoutMs - clock.now();
-		if (tries > kind.retries || leftMs <= 0) {
+		const remainingMs = startedAt + kind.timeoutMs - clock.now();
+		if (attempt > kind.retries || remainingMs <= 0) {
 			settle('refused');
 			return;
 		}
 
-		clock.add(Math.min(retryAfterMs, leftMs * heededShare), send);
+		clock.add(Math.min(retryAfterMs, remainingMs * maximumRetryAfterShare), send);
 	}
 
 	const reply: Reply = {
@@ -95,7 +96,7 @@
 			settle('failed');
 		},
 		begin() {
-			// The first event counts.
+			// Latency is measured to the first event.
 		},
 		write() {
 			const now = clock.now();
@@ -105,7 +106,7 @@
 			return true;
 		},
 		onDrain() {
-			// Never slow.
+			// Callers read without delay.
 		},
 		end: handleEnd,
 		cut() {
@@ -121,11 +122,11 @@
 	};
 
 	function send(): void {
-		tries++;
+		attempt++;
 		lastAt = clock.now();
-		const requestId = `${prompt.metadata.requestId} ${tries}`;
+		const requestId = `${prompt.metadata.requestId} ${attempt}`;
 		task = chooseNode().forwarder.forward({
-			facts: {...prompt.metadata, requestId, waitMs: askedAt + kind.timeoutMs - clock.now()},
+			facts: {...prompt.metadata, requestId, waitMs: startedAt + kind.timeoutMs - clock.now()},
 			route: toRoute(kind),
 			version: 1,
 			pool: 'engines',
@@ -140,7 +141,7 @@
 	}
 
 	send();
-	checkSilence();
+	checkInactivity();
 }
 
 function toRoute({name, timeoutMs, objectiveMs, pauseMs, priority, attempts, isResumable}: CallerClass): Route {
--- a/emulator/fleet/src/start-load-updates.ts
+++ b/emulator/fleet/src/start-load-updates.ts
@@ -5,14 +5,14 @@
 import type {EmulationLoad} from './emulation-load.ts';
 
 /**
-Data centres of a fleet with relays, and nodes up to which every node is linked with every other, as the gateway has it.
+Data centres of a fleet with relays, and the maximum nodes of a full mesh; the default of the gateway.
 */
 const dataCentres = 4;
 const meshNodes = 16;
 /**
-Time within which a member tells of what it has placed, in milliseconds, as the gateway has it.
+Delay after which a member sends new placements, in milliseconds; the same as in the gateway.
 */
-const placedMs = 30;
+const placementDelayMs = 30;
 
 type Links = {
 	readonly relays: readonly string[];
@@ -24,16 +24,16 @@
 	readonly nodes: readonly EmulatedNode[];
 	readonly load: EmulationLoad;
 	/**
-	Time after which no more news are told, in milliseconds.
+	Time after which no load updates are sent, in milliseconds.
 	*/
 	readonly untilMs: number;
 };
 
 /**
- Starts the news between the nodes of an emulation, linked as the gateway plans it: all to all, or by way of relays.
+ Starts the load updates between emulated nodes, in a full mesh or through relays, as the gateway plans it.
 
  @example
- startNews({clock, nodes, load, untilMs: 44_000});
+ startLoadUpdates({clock, nodes, load, untilMs: 44_000});
  */
 export function startLoadUpdates({clock, nodes, load, untilMs}: LoadUpdatesOptions): void {
 	const links = planLinks(nodes.map(({id}) => id));
@@ -50,59 +50,59 @@
 			},
 			network: {
 				isReady: () => true,
-				notify(node, _method, news) {
+				notify(node, _method, update) {
 					clock.add(load.linkMs, () => {
-						syncs.get(node)?.applyNews(news, id);
+						syncs.get(node)?.applyNews(update, id);
 					});
 				},
 			},
 		}));
 	}
 
-	for (const [index, {id, setOnPlacement: setOnPlaced}] of nodes.entries()) {
-		const news = syncs.get(id)!;
-		// Nodes that start at different moments tell at different moments.
+	for (const [index, {id, setOnPlacement}] of nodes.entries()) {
+		const sync = syncs.get(id)!;
+		// Spreads the updates of the nodes over the interval.
 		clock.add(load.newsMs * index / syncs.size, () => {
-			sendRepeatedly(clock, news, {pauseMs: load.newsMs, memberTurns: load.intervalsPerMemberUpdate, untilMs});
+			sendRepeatedly(clock, sync, {intervalMs: load.newsMs, intervalsPerMemberUpdate: load.intervalsPerMemberUpdate, untilMs});
 		});
 		if (!isRelay(id)) {
-			setOnPlaced(createPlacedTeller(clock, news));
+			setOnPlacement(createPlacementSender(clock, sync));
 		}
 	}
 }
 
-type Turns = {
-	readonly pauseMs: number;
+type SendSchedule = {
+	readonly intervalMs: number;
 	/**
-	Turns of relays for each one of members.
+	Relays send to their members once in this many intervals.
 	*/
-	readonly memberTurns: number;
+	readonly intervalsPerMemberUpdate: number;
 	readonly untilMs: number;
 };
 
-function sendRepeatedly(clock: EmulationClock, news: NewsSync, turns: Turns, turn = 0): void {
-	news.send(turn % turns.memberTurns === 0);
-	if (clock.now() < turns.untilMs) {
-		clock.add(turns.pauseMs, () => {
-			sendRepeatedly(clock, news, turns, turn + 1);
+function sendRepeatedly(clock: EmulationClock, sync: NewsSync, schedule: SendSchedule, interval = 0): void {
+	sync.send(interval % schedule.intervalsPerMemberUpdate === 0);
+	if (clock.now() < schedule.untilMs) {
+		clock.add(schedule.intervalMs, () => {
+			sendRepeatedly(clock, sync, schedule, interval + 1);
 		});
 	}
 }
 
 /**
-A member tells its relay soon of what it has placed.
+Creates a handler by which a member sends new placements to its relay after a short delay.
 */
-function createPlacedTeller(clock: EmulationClock, news: NewsSync): () => void {
-	let isDue = false;
+function createPlacementSender(clock: EmulationClock, sync: NewsSync): () => void {
+	let isScheduled = false;
 	return () => {
-		if (isDue) {
+		if (isScheduled) {
 			return;
 		}
 
-		isDue = true;
-		clock.add(placedMs, () => {
-			isDue = false;
-			news.send(false);
+		isScheduled = true;
+		clock.add(placementDelayMs, () => {
+			isScheduled = false;
+			sync.send(false);
 		});
 	};
 }
--- a/emulator/fleet/src/summarize-outcomes.ts
+++ b/emulator/fleet/src/summarize-outcomes.ts
@@ -3,21 +3,21 @@
 import type {EmulationReport} from './emulation-report.ts';
 
 /**
-Length of the windows of which the worst is reported, in milliseconds.
+Length of a window of start times, in milliseconds; the worst one is reported.
 */
 const windowMs = 2000;
 
 type Summary = Pick<EmulationReport, 'classes' | 'worth' | 'worstClass' | 'worstWindow'>;
 
 /**
- Sums up the outcomes of a run.
+ Summarizes the outcomes of a run.
 
  @example
  summarizeOutcomes([]).worth; // 1
  */
 export function summarizeOutcomes(outcomes: readonly CallerOutcome[]): Summary {
 	const byClass = Map.groupBy(outcomes, ({className}) => className);
-	const byWindow = Map.groupBy(outcomes, ({startedAt: askedAt}) => Math.floor(askedAt / windowMs));
+	const byWindow = Map.groupBy(outcomes, ({startedAt}) => Math.floor(startedAt / windowMs));
 	return {
 		classes: Object.fromEntries(byClass.entries().map(([name, list]) => [name, summarizeClass(list)])),
 		worth: measureWorth(outcomes),
--- a/emulator/fleet/test/emulation.test.ts
+++ b/emulator/fleet/test/emulation.test.ts
@@ -33,38 +33,38 @@
 	t.end();
 });
 
-test('streams keep their pauses beside long prompts because of the harm and the risk that placing counts', t => {
+test('streams meet their pause objectives beside long prompts because selection counts prefill interference and risk', t => {
 	const {classes: {queries: counted}} = runEmulation({
 		load, seed: 2, selection, admission,
 	});
-	const {classes: {queries: uncounted}} = runEmulation({
+	const {classes: {queries: ignored}} = runEmulation({
 		load, seed: 2, selection: {...selection, harmWeight: 0, riskWeight: 0}, admission,
 	});
 	t.ok(counted!.pauseLate < 0.15 * counted!.asked, `${counted!.pauseLate} of ${counted!.asked}`);
-	t.ok(uncounted!.pauseLate > 0.3 * uncounted!.asked, `${uncounted!.pauseLate} of ${uncounted!.asked}`);
+	t.ok(ignored!.pauseLate > 0.3 * ignored!.asked, `${ignored!.pauseLate} of ${ignored!.asked}`);
 	t.end();
 });
 
-test('a burst of drafts: what cannot be in time is turned away at first, and more of the rest is in time', t => {
-	const sum = {behind: 0, inOrder: 0};
+test('in a burst of drafts, requests that cannot be in time are refused at first and more of the others are in time', t => {
+	const sum = {withRefusal: 0, withoutRefusal: 0};
 	for (const seed of [1, 2, 3]) {
-		const {classes: {drafts: behind}} = runEmulation({
+		const {classes: {drafts: withRefusal}} = runEmulation({
 			load, seed, selection, admission,
 		});
-		const {classes: {drafts: inOrder}} = runEmulation({
+		const {classes: {drafts: withoutRefusal}} = runEmulation({
 			load, seed, selection, admission: {...admission, lateFactor: 1000},
 		});
-		t.ok(behind!.turnedAway > 0);
-		t.equal(inOrder!.turnedAway, 0);
-		sum.behind += behind!.worth;
-		sum.inOrder += inOrder!.worth;
+		t.ok(withRefusal!.turnedAway > 0);
+		t.equal(withoutRefusal!.turnedAway, 0);
+		sum.withRefusal += withRefusal!.worth;
+		sum.withoutRefusal += withoutRefusal!.worth;
 	}
 
-	t.ok(sum.behind > sum.inOrder + 0.05, `worth ${sum.behind} against ${sum.inOrder} in order of arrival`);
+	t.ok(sum.withRefusal > sum.withoutRefusal + 0.05, `worth ${sum.withRefusal} with early refusal, ${sum.withoutRefusal} without`);
 	t.end();
 });
 
-test('engines that ask for a pause or say that they leave are heeded by every node', t => {
+test('every node respects cooldowns and draining signals of engines', t => {
 	for (const seed of [1, 2, 3]) {
 		const {brokenNotices, classes} = runEmulation({
 			load: createDraftsBesideOverload(), seed, selection, admission,
--- a/emulator/fleet/test/large-fleet.test.ts
+++ b/emulator/fleet/test/large-fleet.test.ts
@@ -1,7 +1,6 @@
 /*
-Many nodes that hear of each other's work a quarter of a second late each sent a shared part of a prompt to another engine as soon as
-its first holder was busy, so that engine after engine read it. They prefer the same engine for a copy now. Three seeds: 302,000 tokens
-of 6.4 million were read again, 416,000 of 6.5 million before.
+Guards against many nodes with stale loads each sending a shared prompt part to another engine when the first is busy, so that
+engine after engine prefills it.
 */
 import {test} from 'tap';
 import {createLargeFleet} from '@valvesaddle/emulator-loads';
@@ -12,15 +11,15 @@
 };
 const admission = {lateFactor: 1.3, returnFactor: 1.5, waitFactor: 0.5};
 /**
-Part of the large fleet that is run here, and of its subjects, so that they come again as often.
+Shares of the large fleet's requests and subjects that are run here; each subject recurs about as often.
 */
 const fleetShare = 0.25;
 const subjectShare = 0.15;
 const engines = 14;
 /**
-Part of what engines read that may be shared parts which some engine had read before.
+Maximum share of prefilled tokens that belong to shared parts which some engine had prefilled before.
 */
-const mostReadAgain = 0.05;
+const maximumRecomputedShare = 0.05;
 
 function createPart(): EmulationLoad {
 	const large = createLargeFleet();
@@ -40,18 +39,18 @@
 	};
 }
 
-test('nodes that hear of each other late send shared parts to few engines', t => {
+test('nodes with stale loads send shared parts to few engines', t => {
 	const load = createPart();
-	let read = 0;
-	let readAgain = 0;
+	let prefilled = 0;
+	let recomputed = 0;
 	for (const seed of [1, 2, 3]) {
 		const report = runEmulation({
 			load, seed, selection, admission,
 		});
-		read += report.readTokens;
-		readAgain += report.readAgainTokens;
+		prefilled += report.readTokens;
+		recomputed += report.readAgainTokens;
 	}
 
-	t.ok(readAgain <= mostReadAgain * read, `${readAgain} of ${read} tokens`);
+	t.ok(recomputed <= maximumRecomputedShare * prefilled, `${recomputed} of ${prefilled} tokens`);
 	t.end();
 });
