--- a/emulator/beliefs/src/change-record.ts
+++ b/emulator/beliefs/src/change-record.ts
@@ -3,11 +3,11 @@
 import type {WrittenChange} from './written-change.ts';
 
 /**
-Who believed what, and when.
+Records when each node applied each change.
 */
 export type ChangeRecord = {
 	/**
-	From now on looks at a node whenever its beliefs change.
+	Checks a node whenever its cluster view changes from now on.
 	*/
 	readonly addNode: (node: PropagationNode) => void;
 	readonly addChange: (change: WrittenChange) => void;
--- a/emulator/beliefs/src/create-change-record.ts
+++ b/emulator/beliefs/src/create-change-record.ts
@@ -10,7 +10,7 @@
 };
 
 /**
- Creates the record of who believed what, and when.
+ Creates the record of when each node applied each change.
 
  @example
  const record = createChangeRecord({now});
@@ -43,13 +43,13 @@
 				checkNode(node);
 			}
 		},
-		summarize: living => [...written].map(([{kind, subject, writtenAtMs}, appliedAtMs]) => ({
+		summarize: liveNodes => [...written].map(([{kind, subject, writtenAtMs}, appliedAtMs]) => ({
 			kind,
 			subject,
 			writtenAtMs,
 			appliedAtMs,
-			lastAtMs: Math.max(writtenAtMs, ...living.filter(node => startedAtMs.get(node)! <= writtenAtMs).map(({self}) => appliedAtMs.get(self.id) ?? 0)),
-			missing: living.map(({self}) => self.id).filter(id => !appliedAtMs.has(id)),
+			lastAtMs: Math.max(writtenAtMs, ...liveNodes.filter(node => startedAtMs.get(node)! <= writtenAtMs).map(({self}) => appliedAtMs.get(self.id) ?? 0)),
+			missing: liveNodes.map(({self}) => self.id).filter(id => !appliedAtMs.has(id)),
 		})),
 	};
 }
--- a/emulator/beliefs/src/create-default-settings.ts
+++ b/emulator/beliefs/src/create-default-settings.ts
@@ -2,18 +2,19 @@
 
 type DefaultSettingsOptions = {
 	/**
-	Between two messages on work, in milliseconds; no belief waits for them, and they take the longest to emulate.
+	Interval between load updates, in milliseconds. Changes of the cluster state do not wait for it, and short intervals slow the
+	emulation.
 	*/
 	readonly loadUpdateMs: number;
 };
 
 /**
- Creates the settings of a node that sets no other times of its own.
+ Creates node settings with default values except for the load update interval.
 
  @example
- createUsualSettings({newsMs: 400}).peers.heartbeat_ms; // 250
+ createDefaultSettings({loadUpdateMs: 400}).peers.heartbeat_ms; // 250
  */
-export function createDefaultSettings({loadUpdateMs: newsMs}: DefaultSettingsOptions): Pick<GatewaySettings, 'store' | 'peers'> {
+export function createDefaultSettings({loadUpdateMs}: DefaultSettingsOptions): Pick<GatewaySettings, 'store' | 'peers'> {
 	return parseGatewaySettings(`
 		[node]
 		name = "n"
@@ -26,6 +27,6 @@
 		[store]
 		address = "127.0.0.1:0"
 		[peers]
-		news_ms = ${newsMs}
+		news_ms = ${loadUpdateMs}
 	`)._unsafeUnwrap();
 }
--- a/emulator/beliefs/src/create-emulated-configuration.ts
+++ b/emulator/beliefs/src/create-emulated-configuration.ts
@@ -1,12 +1,12 @@
 import type {GatewayConfiguration} from '@valvesaddle/gateway-types';
 
 /**
-Routes of the configuration, so that it has a usual size.
+Number of routes, for a realistic size of the configuration.
 */
 const routeCount = 40;
 
 /**
- Creates the configuration of a version.
+ Creates a configuration of a given version.
 
  @example
  createEmulatedConfiguration(3).version; // 3
--- a/emulator/beliefs/src/create-emulated-load-updates.ts
+++ b/emulator/beliefs/src/create-emulated-load-updates.ts
@@ -2,30 +2,30 @@
 import type {LoadUpdateSize} from './load-update-size.ts';
 
 type EmulatedLoadUpdatesOptions = {
-	readonly work: LoadUpdateSize;
+	readonly size: LoadUpdateSize;
 	readonly endpoints: number;
 	readonly random: () => number;
 };
 
 /**
-Ranks of requests at an engine, and the largest figures that are drawn: requests, tokens and milliseconds.
+Urgency ranks of requests at an engine, and the limits of the random values.
 */
 const ranks = 10;
-const mostOpen = 12;
-const mostTokens = 40_000;
-const mostReadMs = 4000;
-const mostParts = 1e12;
+const maximumOpenRequests = 12;
+const maximumTokens = 40_000;
+const maximumPrefillMs = 4000;
+const maximumPartId = 1e12;
 const hexadecimal = 16;
 
 /**
- Creates the news of a busy node, drawn by lot: what it says matters to nobody here, its size does.
+ Creates the load updates of a busy node. Only their size matters, so the values are random.
 
  @example
- const takeNews = createEmulatedNews({work: {loads: 4, placements: 1}, endpoints: 60, random});
- takeNews().loads.length; // 4
+ const takeLoadUpdate = createEmulatedLoadUpdates({size: {loads: 4, placements: 1}, endpoints: 60, random});
+ takeLoadUpdate().loads.length; // 4
  */
-export function createEmulatedLoadUpdates({work, endpoints, random}: EmulatedLoadUpdatesOptions): () => LoadNews {
-	const draw = (most: number): number => Math.floor(most * random());
+export function createEmulatedLoadUpdates({size, endpoints, random}: EmulatedLoadUpdatesOptions): () => LoadNews {
+	const draw = (limit: number): number => Math.floor(limit * random());
 
 	function drawEndpoint(): string {
 		return `e-${draw(endpoints)}`;
@@ -33,25 +33,25 @@
 
 	function drawLoad(): EndpointLoad {
 		return {
-			open: draw(mostOpen),
-			unread: Array.from({length: ranks}, (_value, rank) => rank % 3 === 0 ? draw(mostTokens) : 0),
-			sensitivity: mostOpen * random(),
+			open: draw(maximumOpenRequests),
+			unread: Array.from({length: ranks}, (_value, rank) => rank % 3 === 0 ? draw(maximumTokens) : 0),
+			sensitivity: maximumOpenRequests * random(),
 			witnesses: 1,
 			silent: 0,
-			readTokens: mostTokens * random(),
-			readMs: mostReadMs * random(),
+			readTokens: maximumTokens * random(),
+			readMs: maximumPrefillMs * random(),
 		};
 	}
 
 	function drawPlacement(): Placement {
-		const parts = Array.from({length: 2}, () => draw(mostParts).toString(hexadecimal));
+		const parts = Array.from({length: 2}, () => draw(maximumPartId).toString(hexadecimal));
 		return {
-			endpoint: drawEndpoint(), pool: 'desk', parts, tokens: draw(mostTokens),
+			endpoint: drawEndpoint(), pool: 'desk', parts, tokens: draw(maximumTokens),
 		};
 	}
 
 	return () => ({
-		loads: Array.from({length: work.loads}, () => [drawEndpoint(), drawLoad()] as const),
-		placements: Array.from({length: work.placements}, drawPlacement),
+		loads: Array.from({length: size.loads}, () => [drawEndpoint(), drawLoad()] as const),
+		placements: Array.from({length: size.placements}, drawPlacement),
 	});
 }
--- a/emulator/beliefs/src/create-emulated-network.ts
+++ b/emulator/beliefs/src/create-emulated-network.ts
@@ -19,25 +19,25 @@
 	readonly hub: LinkHub;
 	readonly findAddress: (node: string) => string | undefined;
 	/**
-	A link that was silent for so long while in use is broken, in milliseconds.
+	Time without a message after which a link in use is closed, in milliseconds.
 	*/
-	readonly silenceMs: number;
+	readonly linkTimeoutMs: number;
 	readonly metrics: Metrics;
 };
 
 /**
-As the real network looks after its links.
+Checks of each link within its timeout.
 */
-const ticksPerSilence = 6;
+const checksPerTimeout = 6;
 
 /**
- Creates the network of an emulated node: the real links, over emulated sockets.
+ Creates the network of an emulated node: peer links over emulated sockets.
 
  @example
- const network = createEmulatedNetwork({self, hub, findAddress, silenceMs: 1200, metrics});
+ const network = createEmulatedNetwork({self, hub, findAddress, linkTimeoutMs: 1200, metrics});
  await network.listen({'peer.hello': () => 'hello'});
  */
-export function createEmulatedNetwork({self, hub, findAddress, silenceMs, metrics}: EmulatedNetworkOptions): PeerNetwork {
+export function createEmulatedNetwork({self, hub, findAddress, linkTimeoutMs, metrics}: EmulatedNetworkOptions): PeerNetwork {
 	const events = new Emittery<PeerEvents>();
 	const links = new Map<string, PeerLink>();
 	const opening = new Map<string, Promise<PeerLink>>();
@@ -50,11 +50,11 @@
 		for (const link of all) {
 			link.tick(now);
 		}
-	}, silenceMs / ticksPerSilence);
+	}, linkTimeoutMs / checksPerTimeout);
 
 	function addLink(node: string, socket: EmulatedSocket): void {
 		const link = createPeerLink({
-			node, socket: socket as unknown as WebSocket, handlers, silenceMs, metrics,
+			node, socket: socket as unknown as WebSocket, handlers, silenceMs: linkTimeoutMs, metrics,
 			onClose() {
 				all.delete(link);
 				if (links.get(node) !== link) {
@@ -76,7 +76,7 @@
 			throw new ValvesaddleError('ERR_VALVESADDLE_PEER_UNREACHABLE', `the address of ${node} is not known`);
 		}
 
-		await hub.open(self.id, address, silenceMs);
+		await hub.open(self.id, address, linkTimeoutMs);
 		const link = links.get(node);
 		if (link === undefined) {
 			throw new ValvesaddleError('ERR_VALVESADDLE_PEER_UNREACHABLE', `the link to ${node} broke`);
--- a/emulator/beliefs/src/create-emulated-store.ts
+++ b/emulator/beliefs/src/create-emulated-store.ts
@@ -11,7 +11,7 @@
 
 type EmulatedStoreOptions = {
 	/**
-	Time after which a node gives up a call, in milliseconds.
+	Timeout of a call, in milliseconds.
 	*/
 	readonly timeoutMs: number;
 	readonly random: () => number;
@@ -23,8 +23,8 @@
 };
 
 type Lease = {
-	readonly termMs: number;
-	endsAt: number;
+	readonly durationMs: number;
+	expiresAt: number;
 };
 
 type Answer = {
@@ -44,24 +44,24 @@
 };
 
 /**
-Time of a call or an answer under way: from this to twice this, in milliseconds.
+Minimum latency of a call or an answer, in milliseconds; the maximum is twice this.
 */
-const wayMs = 1;
+const minimumLatencyMs = 1;
 /**
-Items on one page of a list: a tenth of the platform's, so that a small fleet has several.
+Items on one page of a list: few, so that the list of a small fleet has several pages.
 */
 const pageItems = 50;
 /**
-How often the store looks for leases that are over, in milliseconds.
+Interval between checks for expired leases, in milliseconds.
 */
-const sweepMs = 100;
+const expiryIntervalMs = 100;
 
 const configurationKey = 'configuration';
 const endpointPrefix = 'endpoints/';
 const nodePrefix = 'valvesaddle/nodes/';
 
 /**
- Creates an emulated metadata store, empty at first: revisions, pages that are no snapshot, watches, leases and history.
+ Creates an empty emulated metadata store with revisions, lists whose pages are not one snapshot, watches, leases and history.
 
  @example
  const store = createEmulatedStore({timeoutMs: 1000, random});
@@ -71,32 +71,32 @@
 	const items = new Map<string, Item>();
 	const leases = new Map<string, Lease>();
 	const waiting = new Set<Watch>();
-	const treatments = new Map<string, StoreResponseMode>();
+	const responseModes = new Map<string, StoreResponseMode>();
 	const ended = new Set<string>();
 	const calls: Record<string, number> = {};
 	let history: ClusterChange[] = [];
 	/**
-	Changes after this revision are known.
+	Changes up to this revision are no longer in the history.
 	*/
-	let historyStart = 0;
+	let compactedRevision = 0;
 	let revision = 0;
 	let lastLease = 0;
 	let isQuiet = false;
-	let addedMs = 0;
+	let addedLatencyMs = 0;
 	let watchesMissed = 0;
 
-	setInterval(expireLeases, sweepMs);
+	setInterval(expireLeases, expiryIntervalMs);
 
 	function expireLeases(): void {
 		const now = performance.now();
-		for (const [id, {endsAt}] of leases) {
-			if (endsAt <= now) {
-				endLease(id);
+		for (const [id, {expiresAt}] of leases) {
+			if (expiresAt <= now) {
+				removeLease(id);
 			}
 		}
 	}
 
-	function endLease(id: string): void {
+	function removeLease(id: string): void {
 		leases.delete(id);
 		for (const [key, {lease}] of items) {
 			if (lease === id) {
@@ -146,9 +146,9 @@
 		watch.answer.send({revision, changes});
 	}
 
-	function failWatches(isCut: (watch: Watch) => boolean): void {
+	function failWatches(isAffected: (watch: Watch) => boolean): void {
 		for (const watch of waiting) {
-			if (!isCut(watch)) {
+			if (!isAffected(watch)) {
 				continue;
 			}
 
@@ -157,12 +157,12 @@
 		}
 	}
 
-	function drawWay(): number {
-		return wayMs * (1 + random());
+	function drawLatency(): number {
+		return minimumLatencyMs * (1 + random());
 	}
 
 	/**
-	One call: under way, treated as the node's calls are, answered, and given up when it takes too long.
+	Emulates one call: latency both ways, the response mode of the node, and the timeout.
 	*/
 	async function sendCall<Value>(name: string, node: string, handle: (answer: Answer) => void, waitMs = 0): Promise<Value> {
 		calls[name] = (calls[name] ?? 0) + 1;
@@ -171,18 +171,18 @@
 			return promise;
 		}
 
-		const giveUp = setTimeout(() => {
-			reject(createUnavailable('no answer in time'));
+		const timer = setTimeout(() => {
+			reject(createUnavailable('the call timed out'));
 		}, waitMs + timeoutMs);
-		const settle = (hand: () => void) => {
+		const settle = (deliver: () => void) => {
 			setTimeout(() => {
-				if (ended.has(node) || treatments.get(node) === 'silence') {
+				if (ended.has(node) || responseModes.get(node) === 'silence') {
 					return;
 				}
 
-				clearTimeout(giveUp);
-				hand();
-			}, drawWay() + addedMs);
+				clearTimeout(timer);
+				deliver();
+			}, drawLatency() + addedLatencyMs);
 		};
 
 		const answer: Answer = {
@@ -197,7 +197,7 @@
 				});
 			},
 		};
-		const treatmentHandlers: Readonly<Record<StoreResponseMode, () => void>> = {
+		const modeHandlers: Readonly<Record<StoreResponseMode, () => void>> = {
 			served() {
 				handle(answer);
 			},
@@ -208,12 +208,12 @@
 				answer.fail(createUnavailable('the connection was reset'));
 			},
 			silence() {
-				// The call is given up when its time is over.
+				// The call times out.
 			},
 		};
 		setTimeout(() => {
-			treatmentHandlers[treatments.get(node) ?? 'served']();
-		}, drawWay());
+			modeHandlers[responseModes.get(node) ?? 'served']();
+		}, drawLatency());
 		return promise;
 	}
 
@@ -226,7 +226,8 @@
 	}
 
 	/**
-	Pages are no snapshot: watching from the first page's revision brings what later pages may lack.
+	Pages are not one snapshot, so the list has the revision of the first page: a watch from there repeats what later pages may
+	lack.
 	*/
 	async function listAll(node: string): Promise<ClusterChanges> {
 		const changes: ClusterChange[] = [];
@@ -248,7 +249,7 @@
 
 	async function watchChanges(node: string, after: number, waitMs: number): Promise<ClusterChanges> {
 		return sendCall('watch', node, answer => {
-			if (after < historyStart) {
+			if (after < compactedRevision) {
 				answer.fail(new ValvesaddleError('ERR_VALVESADDLE_KV_HISTORY_LOST', 'the store answered 410'));
 				return;
 			}
@@ -270,10 +271,10 @@
 		}, waitMs);
 	}
 
-	async function registerNode(node: GatewayNode, termMs: number): Promise<string> {
+	async function registerNode(node: GatewayNode, durationMs: number): Promise<string> {
 		const lease = await sendCall<string>('open-lease', node.id, answer => {
 			const id = String(++lastLease);
-			leases.set(id, {termMs, endsAt: performance.now() + termMs});
+			leases.set(id, {durationMs, expiresAt: performance.now() + durationMs});
 			answer.send(id);
 		});
 		return sendCall('write', node.id, answer => {
@@ -294,19 +295,19 @@
 			watch: (after, waitMs) => ResultAsync.fromPromise(watchChanges(id, after, waitMs), toValvesaddleError),
 			register: (node, leaseMs) => ResultAsync.fromPromise(registerNode(node, leaseMs), toValvesaddleError),
 			renew: lease => ResultAsync.fromPromise(sendCall<boolean>('renew', id, answer => {
-				const held = leases.get(lease);
-				if (held !== undefined) {
-					held.endsAt = performance.now() + held.termMs;
+				const openLease = leases.get(lease);
+				if (openLease !== undefined) {
+					openLease.expiresAt = performance.now() + openLease.durationMs;
 				}
 
-				answer.send(held !== undefined);
+				answer.send(openLease !== undefined);
 			}), toValvesaddleError),
 			release: lease => ResultAsync.fromPromise(sendCall<void>('end-lease', id, answer => {
-				endLease(lease);
+				removeLease(lease);
 				answer.send(undefined);
 			}), toValvesaddleError),
 			async close() {
-				// Nothing is open.
+				// Nothing to close.
 			},
 		}),
 		writeConfiguration(configuration) {
@@ -327,18 +328,18 @@
 			}
 
 			history = [];
-			historyStart = revision;
+			compactedRevision = revision;
 			failWatches(() => true);
 		},
 		setAddedLatency(milliseconds) {
-			addedMs = milliseconds;
+			addedLatencyMs = milliseconds;
 		},
-		setResponseMode(treatment, nodes) {
+		setResponseMode(mode, nodes) {
 			for (const node of nodes) {
-				treatments.set(node, treatment);
+				responseModes.set(node, mode);
 			}
 
-			if (treatment === 'reset') {
+			if (mode === 'reset') {
 				failWatches(({node}) => nodes.has(node));
 			}
 		},
--- a/emulator/beliefs/src/create-link-hub.ts
+++ b/emulator/beliefs/src/create-link-hub.ts
@@ -4,20 +4,20 @@
 import type {LinkHub} from './link-hub.ts';
 import type {LinkTraits} from './link-traits.ts';
 
-type Station = {
+type RegisteredNode = {
 	readonly node: GatewayNode;
 	readonly accept: (peer: string, socket: EmulatedSocket) => void;
 	end?: 'reset' | 'silence';
 	/**
-	When all that it has sent will have left it, on the runtime's steady clock in milliseconds.
+	Time at which the uplink will have sent all queued messages, in milliseconds of `performance.now()`.
 	*/
-	sentBy: number;
+	uplinkFreeAt: number;
 };
 
 type Link = {
 	readonly nodes: readonly [string, string];
 	readonly sockets: readonly [EmulatedSocket, EmulatedSocket];
-	isSilent: boolean;
+	isDropping: boolean;
 };
 
 type LinkHubOptions = {
@@ -26,58 +26,58 @@
 };
 
 /**
-Times until a lost message has been sent again, in milliseconds: the least that TCP on Linux waits (`TCP_RTO_MIN`), and a
-second for what opens a connection (RFC 6298).
+Retransmission timeouts, in milliseconds: of a message, the minimum of TCP on Linux (`TCP_RTO_MIN`), and of the packet that
+opens a connection (RFC 6298).
 */
-const resendMs = 200;
-const openAgainMs = 1000;
+const retransmitMs = 200;
+const connectRetransmitMs = 1000;
 
 /**
- Creates what lies between the nodes: links that delay, stall, fall silent and break.
+ Creates the emulated network between nodes: links that delay, drop messages, partition and break.
 
  @example
  const hub = createLinkHub({traits: {nearMs: 1, farMs: 12, jitterShare: 0.3, lossShare: 0}, random});
  hub.setCut(['a', 'b'], true);
  */
 export function createLinkHub({traits, random}: LinkHubOptions): LinkHub {
-	const stations = new Map<string, Station>();
-	const byAddress = new Map<string, Station>();
-	const cuts = new Set<string>();
+	const byId = new Map<string, RegisteredNode>();
+	const byAddress = new Map<string, RegisteredNode>();
+	const partitions = new Set<string>();
 	const links = new Set<Link>();
 
-	function measureDelay(a: Station, b: Station): number {
-		const usualMs = a.node.dataCentre === b.node.dataCentre ? traits.nearMs : traits.farMs;
-		return usualMs * (1 + (traits.jitterShare * random()));
+	function measureDelay(a: RegisteredNode, b: RegisteredNode): number {
+		const baseMs = a.node.dataCentre === b.node.dataCentre ? traits.nearMs : traits.farMs;
+		return baseMs * (1 + (traits.jitterShare * random()));
 	}
 
 	/**
-	Time until a message has left its node: all that the node has sent before leaves first, whatever the link.
+	Time until a message has left its node, in milliseconds. All links of a node share its uplink, which sends in order.
 	*/
-	function measureUplink(station: Station, bytes: number): number {
+	function measureUplinkDelay(registered: RegisteredNode, bytes: number): number {
 		if (traits.uplinkBytesPerMs === undefined) {
 			return 0;
 		}
 
 		const now = performance.now();
-		station.sentBy = Math.max(now, station.sentBy) + (bytes / traits.uplinkBytesPerMs);
-		return station.sentBy - now;
+		registered.uplinkFreeAt = Math.max(now, registered.uplinkFreeAt) + (bytes / traits.uplinkBytesPerMs);
+		return registered.uplinkFreeAt - now;
 	}
 
-	function measureLoss(againMs: number): number {
-		return random() < traits.lossShare ? againMs : 0;
+	function measureRetransmission(timeoutMs: number): number {
+		return random() < traits.lossShare ? timeoutMs : 0;
 	}
 
-	function isCut(a: Station, b: Station): boolean {
-		return cuts.has(toCutKey([a.node.dataCentre, b.node.dataCentre]));
+	function isPartitioned(a: RegisteredNode, b: RegisteredNode): boolean {
+		return partitions.has(toPartitionKey([a.node.dataCentre, b.node.dataCentre]));
 	}
 
-	function addLink(from: Station, to: Station): Link {
+	function addLink(from: RegisteredNode, to: RegisteredNode): Link {
 		const [near, far] = createSocketPair({
-			measureDelay: (end, bytes) => measureUplink(end === 'near' ? from : to, bytes) + measureDelay(from, to) + measureLoss(resendMs),
-			isCut: () => isCut(from, to),
-			isSilent: () => link.isSilent,
+			measureDelay: (end, bytes) => measureUplinkDelay(end === 'near' ? from : to, bytes) + measureDelay(from, to) + measureRetransmission(retransmitMs),
+			isPartitioned: () => isPartitioned(from, to),
+			isDropping: () => link.isDropping,
 		});
-		const link: Link = {nodes: [from.node.id, to.node.id], sockets: [near, far], isSilent: false};
+		const link: Link = {nodes: [from.node.id, to.node.id], sockets: [near, far], isDropping: false};
 		links.add(link);
 		for (const socket of link.sockets) {
 			socket.once('close', () => {
@@ -95,7 +95,7 @@
 			}
 
 			if (how === 'silence') {
-				link.isSilent = true;
+				link.isDropping = true;
 			} else {
 				link.sockets[link.nodes.indexOf(node)]!.terminate();
 			}
@@ -104,25 +104,25 @@
 
 	return {
 		register(node, accept) {
-			const station: Station = {node, accept, sentBy: 0};
-			stations.set(node.id, station);
-			byAddress.set(node.address, station);
+			const registered: RegisteredNode = {node, accept, uplinkFreeAt: 0};
+			byId.set(node.id, registered);
+			byAddress.set(node.address, registered);
 		},
 		async open(from, address, timeoutMs) {
-			const near = stations.get(from)!;
+			const near = byId.get(from)!;
 			const far = byAddress.get(address);
 			const {promise, resolve, reject} = Promise.withResolvers<void>();
-			let isLate = false;
+			let hasTimedOut = false;
 			setTimeout(() => {
-				isLate = true;
-				reject(new Error('the handshake has timed out'));
+				hasTimedOut = true;
+				reject(new Error('the handshake timed out'));
 			}, timeoutMs);
-			if (near.end !== undefined || far?.end === 'silence' || (far !== undefined && isCut(near, far))) {
+			if (near.end !== undefined || far?.end === 'silence' || (far !== undefined && isPartitioned(near, far))) {
 				return promise;
 			}
 
-			// The connection first, then the request that the far end answers.
-			const wayMs = far === undefined ? traits.nearMs : measureDelay(near, far);
+			// One and a half round trips: the TCP handshake, then the upgrade request.
+			const delayMs = far === undefined ? traits.nearMs : measureDelay(near, far);
 			setTimeout(() => {
 				if (far === undefined || far.end !== undefined) {
 					reject(new Error('the connection was refused'));
@@ -132,7 +132,7 @@
 				const [nearSocket, farSocket] = addLink(near, far).sockets;
 				far.accept(from, farSocket);
 				nearSocket.once('open', () => {
-					if (isLate) {
+					if (hasTimedOut) {
 						nearSocket.terminate();
 						return;
 					}
@@ -140,24 +140,24 @@
 					near.accept(far.node.id, nearSocket);
 					resolve();
 				});
-			}, (3 * wayMs) + measureLoss(openAgainMs));
+			}, (3 * delayMs) + measureRetransmission(connectRetransmitMs));
 			return promise;
 		},
 		endNode(node, how) {
 			endLinks(node, how);
-			stations.get(node)!.end = how;
+			byId.get(node)!.end = how;
 		},
 		endLinks,
 		setPartition(between, isOn) {
 			if (isOn) {
-				cuts.add(toCutKey(between));
+				partitions.add(toPartitionKey(between));
 			} else {
-				cuts.delete(toCutKey(between));
+				partitions.delete(toPartitionKey(between));
 			}
 		},
 	};
 }
 
-function toCutKey(between: readonly [string, string]): string {
+function toPartitionKey(between: readonly [string, string]): string {
 	return between.toSorted((a, b) => a.localeCompare(b)).join(' ');
 }
--- a/emulator/beliefs/src/create-paused-runtime.ts
+++ b/emulator/beliefs/src/create-paused-runtime.ts
@@ -5,13 +5,13 @@
 import type {PausedRuntime} from './paused-runtime.ts';
 
 /**
-Time of the paused clock at the start, in milliseconds: any but 0, which stands for "never" in places.
+Time of the paused clock at the start, in milliseconds; not 0, which can mean "never".
 */
 const startMs = 1_000_000;
 
 /**
- Pauses the clock of the runtime and seeds its random numbers, for all modules of the process, until it is closed. Timers of
- `node:timers/promises` are covered too.
+ Pauses the clock and seeds `Math.random` for all modules of the process until it is closed. Covers the timers of
+ `node:timers/promises` too.
 
  @example
  const runtime = createPausedRuntime(7);
@@ -23,8 +23,8 @@
 	const paused = new Clock();
 	paused.travel(startMs);
 	const exit = paused.enter();
-	const {random: unseeded} = Math;
-	const {setTimeout: unpaused} = timersPromises;
+	const {random: unseededRandom} = Math;
+	const {setTimeout: unpausedTimeout} = timersPromises;
 	Math.random = createRandom(seed);
 	Object.assign(timersPromises, {
 		setTimeout: async (milliseconds: number, value: unknown, options: {readonly signal?: AbortSignal} = {}) => paused.setTimeoutPromise(milliseconds, value, options),
@@ -32,7 +32,7 @@
 	syncBuiltinESMExports();
 
 	/**
-	Timers of a fraction of a millisecond are run with the next whole one.
+	Rounds up, so that timers due at a fraction of a millisecond run at the next whole one.
 	*/
 	function findDue(): number {
 		let due = Infinity;
@@ -53,15 +53,15 @@
 			await timersPromises.setImmediate();
 			for (let due = findDue(); due <= until; due = findDue()) {
 				paused.advance(due - paused.now());
-				// eslint-disable-next-line no-await-in-loop -- all that follows from this moment comes before the next
+				// eslint-disable-next-line no-await-in-loop -- promises of this time settle before the next time
 				await timersPromises.setImmediate();
 			}
 
 			paused.advance(Math.max(0, until - paused.now()));
 		},
 		close() {
-			Math.random = unseeded;
-			Object.assign(timersPromises, {setTimeout: unpaused});
+			Math.random = unseededRandom;
+			Object.assign(timersPromises, {setTimeout: unpausedTimeout});
 			syncBuiltinESMExports();
 			exit();
 		},
--- a/emulator/beliefs/src/create-propagation-node.ts
+++ b/emulator/beliefs/src/create-propagation-node.ts
@@ -17,11 +17,11 @@
 	readonly settings: Pick<GatewaySettings, 'store' | 'peers'>;
 	readonly logger: Logger;
 	/**
-	What the node has to tell of its work; nothing where it is not given.
+	Supplies the load updates of the node; none if omitted.
 	*/
-	readonly takeNews?: () => LoadNews;
+	readonly takeLoadUpdate?: () => LoadNews;
 	/**
-	Whether the node leaves calls for its whole state without an answer now.
+	Whether the node currently never answers calls for its cluster state.
 	*/
 	readonly isStateUnanswered: () => boolean;
 };
@@ -29,13 +29,13 @@
 const stateMethod = 'cluster.state';
 
 /**
- Creates a node from the real packages, wired as the gateway wires them.
+ Creates an emulated node from the packages of the gateway.
 
  @example
- const node = createSpreadingNode({self, store, hub, settings, logger, isStateUnanswered: () => false});
+ const node = createPropagationNode({self, store, hub, settings, logger, isStateUnanswered: () => false});
  node.start();
  */
-export function createPropagationNode({self, store, hub, settings, logger, takeNews, isStateUnanswered}: PropagationNodeOptions): PropagationNode {
+export function createPropagationNode({self, store, hub, settings, logger, takeLoadUpdate, isStateUnanswered}: PropagationNodeOptions): PropagationNode {
 	const metrics = createMetrics();
 	const view = createClusterView({logger, metrics});
 	const follower = createStoreFollower({
@@ -58,10 +58,10 @@
 		self,
 		hub,
 		findAddress: id => view.nodes().find(node => node.id === id)?.address,
-		silenceMs: settings.peers.silence_ms,
+		linkTimeoutMs: settings.peers.silence_ms,
 		metrics,
 	});
-	// Nothing is chosen here.
+	// Only exchanges load updates; no endpoint is selected.
 	const selector = createSelector({
 		harmWeight: 0, riskWeight: 0, reuseMs: 1, rereadMsPerToken: 0, prefillTokensPerMs: 1,
 	});
@@ -70,7 +70,7 @@
 		network,
 		view,
 		follower,
-		selector: takeNews === undefined ? selector : {...selector, takeNews},
+		selector: takeLoadUpdate === undefined ? selector : {...selector, takeNews: takeLoadUpdate},
 		newsMs: settings.peers.news_ms,
 		hasOpenRequests: () => true,
 		heartbeatMs: settings.peers.heartbeat_ms,
@@ -85,7 +85,7 @@
 		view,
 		metrics,
 		start() {
-			void network.listen(withSilence(handlers, isStateUnanswered));
+			void network.listen(withUnansweredState(handlers, isStateUnanswered));
 			follower.start();
 			sync.start();
 		},
@@ -98,7 +98,7 @@
 	};
 }
 
-function withSilence(handlers: PeerHandlers, isStateUnanswered: () => boolean): PeerHandlers {
+function withUnansweredState(handlers: PeerHandlers, isStateUnanswered: () => boolean): PeerHandlers {
 	const answerState = handlers[stateMethod]!;
 	return {
 		...handlers,
--- a/emulator/beliefs/src/create-socket-pair.ts
+++ b/emulator/beliefs/src/create-socket-pair.ts
@@ -4,17 +4,17 @@
 
 type SocketPairOptions = {
 	/**
-	Time that the next message of that many bytes takes from one end, in milliseconds.
+	Delay of the next message from one end, in milliseconds.
 	*/
 	readonly measureDelay: (from: 'near' | 'far', bytes: number) => number;
 	/**
-	Whether nothing passes now, so that messages wait.
+	Whether the link is partitioned, so that messages are retransmitted later.
 	*/
-	readonly isCut: () => boolean;
+	readonly isPartitioned: () => boolean;
 	/**
-	Whether all that is sent vanishes.
+	Whether all messages are dropped.
 	*/
-	readonly isSilent: () => boolean;
+	readonly isDropping: () => boolean;
 };
 
 type Frame = {
@@ -32,21 +32,21 @@
 };
 
 /**
-Pause after which what did not pass is sent again, in milliseconds: the least that TCP on Linux waits (`TCP_RTO_MIN`).
+Retransmission timeout in milliseconds: the minimum of TCP on Linux (`TCP_RTO_MIN`).
 */
-const resendMs = 200;
+const retransmitMs = 200;
 
 /**
-Bytes that a message takes besides its text: heads of WebSocket, TCP and IP.
+Bytes of the headers of a message: WebSocket, TCP and IP.
 */
 const frameBytes = 46;
 
 /**
- Creates the two ends of a link. Messages of a direction arrive in order; the far end, which took the link in, is first
- to send, and the near end is open when it hears of that.
+ Creates the two ends of a link. Messages of a direction arrive in order. The far end, which accepted the link, sends first;
+ the near end is open when it receives that frame.
 
  @example
- const [near, far] = createSocketPair({measureDelay: () => 5, isCut: () => false, isSilent: () => false});
+ const [near, far] = createSocketPair({measureDelay: () => 5, isPartitioned: () => false, isDropping: () => false});
  near.send('{}');
  */
 export function createSocketPair(options: SocketPairOptions): readonly [EmulatedSocket, EmulatedSocket] {
@@ -60,7 +60,7 @@
 	return [near.socket, far.socket];
 }
 
-function createDirection({from, measureDelay, isCut, isSilent}: SocketPairOptions & {readonly from: 'near' | 'far'}, receive: (frame: Frame) => void): Direction {
+function createDirection({from, measureDelay, isPartitioned, isDropping}: SocketPairOptions & {readonly from: 'near' | 'far'}, receive: (frame: Frame) => void): Direction {
 	const queue: Array<{readonly frame: Frame; readonly at: number}> = [];
 	let isWaiting = false;
 
@@ -68,23 +68,23 @@
 		isWaiting = false;
 		const now = performance.now();
 		while (queue.length > 0 && queue[0]!.at <= now) {
-			if (isCut()) {
-				waitFor(resendMs);
+			if (isPartitioned()) {
+				startTimer(retransmitMs);
 				return;
 			}
 
 			const {frame} = queue.shift()!;
-			if (!isSilent()) {
+			if (!isDropping()) {
 				receive(frame);
 			}
 		}
 
 		if (queue.length > 0) {
-			waitFor(queue[0]!.at - now);
+			startTimer(queue[0]!.at - now);
 		}
 	}
 
-	function waitFor(milliseconds: number): void {
+	function startTimer(milliseconds: number): void {
 		if (isWaiting) {
 			return;
 		}
@@ -98,18 +98,18 @@
 			const now = performance.now();
 			const at = Math.max(queue.at(-1)?.at ?? 0, Math.ceil(now + measureDelay(from, frame.text.length + frameBytes)));
 			queue.push({frame, at});
-			waitFor(at - now);
+			startTimer(at - now);
 		},
 	};
 }
 
 function createEnd({send}: Direction): SocketEnd {
-	// The links listen with `on`, as sockets of `ws` have it.
+	// Peer links use `on`, as with sockets of `ws`.
 	// eslint-disable-next-line unicorn/prefer-event-target
 	const events = new EventEmitter();
 	let readyState: number = WebSocket.OPEN;
 
-	function closeHere(): void {
+	function closeLocally(): void {
 		readyState = WebSocket.CLOSED;
 		queueMicrotask(() => {
 			events.emit('close');
@@ -122,7 +122,7 @@
 		}
 
 		send({kind: 'close', text: ''});
-		closeHere();
+		closeLocally();
 	}
 
 	const socket = Object.defineProperty(Object.assign(events, {
@@ -145,7 +145,7 @@
 			}
 
 			if (kind === 'close') {
-				closeHere();
+				closeLocally();
 				return;
 			}
 
--- a/emulator/beliefs/src/emulated-socket.ts
+++ b/emulator/beliefs/src/emulated-socket.ts
@@ -1,17 +1,17 @@
 import type {EventEmitter} from 'node:events';
 
 /**
-One end of a link, as far as the links of the real package use a socket.
+One end of an emulated link: the part of a WebSocket that peer links use.
 */
 export type EmulatedSocket = EventEmitter & {
 	readonly readyState: number;
 	readonly send: (text: string) => void;
 	/**
-	Asks for a sign of life, which brings the text back.
+	Sends a ping, which the other end answers with a pong of the same text.
 	*/
 	readonly ping: (text?: string) => void;
 	/**
-	Ends the link at this end at once; the other end hears of it as of any message.
+	Closes this end at once. The other end receives the close as it receives any message.
 	*/
 	readonly terminate: () => void;
 	readonly close: () => void;
--- a/emulator/beliefs/src/emulated-store.ts
+++ b/emulator/beliefs/src/emulated-store.ts
@@ -7,38 +7,38 @@
 import type {StoreResponseMode} from './store-response-mode.ts';
 
 /**
-The metadata store, with its faults.
+An emulated metadata store with faults.
 */
 export type EmulatedStore = {
 	/**
-	The store as one node reaches it.
+	Creates the client of one node.
 	*/
 	readonly open: (node: GatewayNode) => ClusterStore;
 	readonly writeConfiguration: (configuration: GatewayConfiguration) => void;
 	readonly writeEndpoint: (endpoint: ServingEndpoint) => void;
 	readonly removeEndpoint: (id: string) => void;
 	/**
-	Whether watches hear nothing; when that ends, history is dropped and the watches that wait are cut.
+	Sets whether watches deliver no events. At the end, the history is dropped and open watches are interrupted.
 	*/
 	readonly setQuiet: (isQuiet: boolean) => void;
 	/**
-	Time that is added to each answer, in milliseconds.
+	Sets the latency added to each answer, in milliseconds.
 	*/
-	readonly setAddedLatency: (addedMs: number) => void;
+	readonly setAddedLatency: (addedLatencyMs: number) => void;
 	/**
-	Treats the calls of some nodes in a way from now on; `reset` also cuts their watches that wait.
+	Sets how the store responds to calls of some nodes; `reset` also interrupts their open watches.
 	*/
-	readonly setResponseMode: (treatment: StoreResponseMode, nodes: ReadonlySet<string>) => void;
+	readonly setResponseMode: (mode: StoreResponseMode, nodes: ReadonlySet<string>) => void;
 	/**
-	A node that is no more hears no answer.
+	Sends no further answers to a terminated node.
 	*/
 	readonly endNode: (node: string) => void;
 	/**
-	Calls so far, by their name.
+	Number of calls so far, by name.
 	*/
 	readonly calls: () => Readonly<Record<string, number>>;
 	/**
-	Watches so far that came back empty although something had changed.
+	Number of watches so far that ended without changes although there were some.
 	*/
 	readonly countMissedWatches: () => number;
 };
--- a/emulator/beliefs/src/fault-context.ts
+++ b/emulator/beliefs/src/fault-context.ts
@@ -4,7 +4,7 @@
 import type {PropagationTarget} from './propagation-target.ts';
 
 /**
-What faults need of an emulation.
+The parts of an emulation that faults act on.
 */
 export type FaultContext = {
 	readonly runtime: PausedRuntime;
@@ -15,11 +15,11 @@
 	readonly listFollowers: () => readonly string[];
 	readonly findTarget: (target: PropagationTarget) => string;
 	/**
-	Ends a process, or a machine.
+	Terminates a process (`reset`) or its VM (`silence`).
 	*/
 	readonly endNode: (node: string, how: 'reset' | 'silence') => void;
 	/**
-	Starts a new process in the place of one that ended.
+	Starts a new process in place of a terminated one.
 	*/
 	readonly startReplacement: (node: string) => void;
 	readonly setStateUnanswered: (node: string) => void;
--- a/emulator/beliefs/src/link-hub.ts
+++ b/emulator/beliefs/src/link-hub.ts
@@ -2,21 +2,27 @@
 import type {EmulatedSocket} from './emulated-socket.ts';
 
 /**
-What lies between the nodes.
+The emulated network between nodes.
 */
 export type LinkHub = {
 	/**
-	From now on the node takes in links; it is also given those that it opens.
+	Registers a node. `accept` is called with each link that is opened to or by the node.
 	*/
 	readonly register: (node: GatewayNode, accept: (peer: string, socket: EmulatedSocket) => void) => void;
 	/**
-	Opens a link, which is given to both nodes; fails as a socket does.
+	Opens a link and passes it to both nodes. Rejects when the connection is refused or times out.
 	*/
 	readonly open: (from: string, address: string, timeoutMs: number) => Promise<void>;
+	/**
+	Terminates a node: its peers see connections refused (`reset`), or no answer at all (`silence`).
+	*/
 	readonly endNode: (node: string, how: 'reset' | 'silence') => void;
 	/**
-	Breaks all links of a node that are open now, or makes them silent.
+	Breaks the open links of a node (`reset`), or makes them drop all messages (`silence`).
 	*/
 	readonly endLinks: (node: string, how: 'reset' | 'silence') => void;
-	readonly setPartition: (between: readonly [string, string], isCut: boolean) => void;
+	/**
+	Starts or ends a network partition between two data centres.
+	*/
+	readonly setPartition: (between: readonly [string, string], isOn: boolean) => void;
 };
--- a/emulator/beliefs/src/link-traits.ts
+++ b/emulator/beliefs/src/link-traits.ts
@@ -1,22 +1,25 @@
 /**
-How links between nodes behave. Times are one way, in milliseconds.
+Properties of the links between nodes. Times are one-way latencies, in milliseconds.
 */
 export type LinkTraits = {
+	/**
+	Within a data centre.
+	*/
 	readonly nearMs: number;
 	/**
-	Between two data centres.
+	Between data centres.
 	*/
 	readonly farMs: number;
 	/**
-	Share of a message's time that is drawn by lot.
+	Maximum random addition to a message's latency, as a share of it.
 	*/
 	readonly jitterShare: number;
 	/**
-	Share of the messages that are lost once, and come when they have been sent again; what follows on the link waits for them.
+	Share of messages that are lost once and retransmitted. Later messages of the link wait for them.
 	*/
 	readonly lossShare: number;
 	/**
-	Bytes that each node can send in a millisecond, over all its links; without a limit where it is not given.
+	Bytes that a node can send in a millisecond over all its links; unlimited if omitted.
 	*/
 	readonly uplinkBytesPerMs?: number;
 };
--- a/emulator/beliefs/src/list-by-role.ts
+++ b/emulator/beliefs/src/list-by-role.ts
@@ -8,10 +8,10 @@
 };
 
 /**
- Lists the nodes that have a role in a fleet.
+ Lists the nodes with a role in the overlay.
 
  @example
- listRole(nodes, {role: 'follower', meshNodes: 16}); // ['n-3.5e1f', 'n-8.07ca']
+ listByRole(nodes, {role: 'follower', meshNodes: 16}); // ['n-3.5e1f', 'n-8.07ca']
  */
 export function listByRole(nodes: readonly GatewayNode[], {role, meshNodes}: RoleOptions): readonly string[] {
 	const {relays, followers} = planOverlay(nodes, {meshNodes});
--- a/emulator/beliefs/src/load-update-size.ts
+++ b/emulator/beliefs/src/load-update-size.ts
@@ -1,13 +1,13 @@
 /**
-What a node has to tell of with each message on its work.
+Size of each load update that a node sends.
 */
 export type LoadUpdateSize = {
 	/**
-	Endpoints at which its work has changed.
+	Number of endpoint loads.
 	*/
 	readonly loads: number;
 	/**
-	Prompts that it has placed.
+	Number of placements.
 	*/
 	readonly placements: number;
 };
--- a/emulator/beliefs/src/main.ts
+++ b/emulator/beliefs/src/main.ts
@@ -1,5 +1,5 @@
 /**
- Prints how long the last node of a fleet waits for a change, in calm and under each fault, the worst of some seeds:
+ Prints how long changes take to reach the last node of a fleet, without faults and under each fault; the worst of some seeds:
  `node emulator/beliefs/src/main.ts --nodes 87 --endpoints 300 --data-centres 4 --seeds 5 --fault 'relay lost'`.
  */
 import process from 'node:process';
@@ -13,21 +13,20 @@
 	readonly name: string;
 	readonly faults: readonly PropagationFault[];
 	/**
-	Waits count from this time at the earliest, in milliseconds.
+	Delays are measured from this time at the earliest, in milliseconds.
 	*/
 	readonly fromMs?: number;
 	readonly lossShare?: number;
 };
 
 /**
-Time by which the fleet has formed, of the fault, and of the end, in milliseconds after the start.
+Times at which the fleet has formed, the fault starts and the run ends, in milliseconds after the start.
 */
 const formedMs = 8000;
 const faultAtMs = formedMs + 2000;
 const lengthMs = formedMs + 14_000;
 /**
-Time in which the watches hear nothing, in milliseconds: most of those that began anew after the change at `formedMs`, up to
-0.36 s later, end in it.
+Time in which watches deliver no events, in milliseconds. Most watches that started after the change at `formedMs` end in it.
 */
 const quietMs = 1300;
 const links = {
@@ -105,7 +104,7 @@
 const chosen = cases.filter(({name}) => name.includes(fault));
 
 for (const {name, faults, fromMs = 0, lossShare = 0} of chosen) {
-	const waits = new Map<string, {worstMs: number; missing: number}>();
+	const delays = new Map<string, {worstMs: number; missing: number}>();
 	const totals = {states: 0, bytes: 0};
 	for (let seed = 1; seed <= Number(seeds); seed++) {
 		// eslint-disable-next-line no-await-in-loop -- the clock of the runtime is paused for one run at a time
@@ -124,13 +123,13 @@
 		totals.bytes += report.bytesSent;
 		for (const {kind, subject, writtenAtMs, lastAtMs, missing} of report.changes) {
 			const key = `${kind} ${subject}`;
-			const before = waits.get(key) ?? {worstMs: 0, missing: 0};
-			waits.set(key, {
+			const before = delays.get(key) ?? {worstMs: 0, missing: 0};
+			delays.set(key, {
 				worstMs: Math.max(before.worstMs, lastAtMs - Math.max(writtenAtMs, fromMs)), missing: Math.max(before.missing, missing.length),
 			});
 		}
 	}
 
-	const waited = waits.entries().map(([key, {worstMs, missing}]) => `${key} ${worstMs} ms${missing > 0 ? `, never at ${missing} nodes` : ''}`).toArray();
-	process.stdout.write(`${name}: ${waited.join('; ')}; whole states ${totals.states}, bytes ${totals.bytes}\n`);
+	const summary = delays.entries().map(([key, {worstMs, missing}]) => `${key} ${worstMs} ms${missing > 0 ? `, never at ${missing} nodes` : ''}`).toArray();
+	process.stdout.write(`${name}: ${summary.join('; ')}; whole states ${totals.states}, bytes ${totals.bytes}\n`);
 }
--- a/emulator/beliefs/src/paused-runtime.ts
+++ b/emulator/beliefs/src/paused-runtime.ts
@@ -1,21 +1,21 @@
 /**
-The runtime's clock, paused, and its random numbers, seeded.
+A paused clock and seeded random numbers for the process.
 */
 export type PausedRuntime = {
 	/**
-	Milliseconds since the start.
+	Time since the start, in milliseconds.
 	*/
 	readonly now: () => number;
 	/**
-	Runs a handler at a time after the start.
+	Schedules a handler at a time after the start, in milliseconds.
 	*/
 	readonly add: (atMs: number, handler: () => void) => void;
 	/**
-	Runs all that is due up to a time, and what follows from it.
+	Runs all timers up to a time after the start, in milliseconds, including those that they add.
 	*/
 	readonly advance: (untilMs: number) => Promise<void>;
 	/**
-	Gives the runtime back as it was.
+	Restores the clock and the random numbers.
 	*/
 	readonly close: () => void;
 };
--- a/emulator/beliefs/src/propagation-change.ts
+++ b/emulator/beliefs/src/propagation-change.ts
@@ -1,6 +1,6 @@
 /**
-What is written to the store, in milliseconds after the start: a new configuration, an endpoint that reports that it drains,
-or an endpoint whose entry is removed.
+A change to write to the store: a new configuration, an endpoint that starts draining, or an endpoint that is removed. Times
+are in milliseconds after the start.
 */
 export type PropagationChange =
 	| {readonly kind: 'configuration'; readonly atMs: number}
--- a/emulator/beliefs/src/propagation-fault.ts
+++ b/emulator/beliefs/src/propagation-fault.ts
@@ -1,18 +1,18 @@
 import type {PropagationTarget} from './propagation-target.ts';
 
 /**
-What goes wrong, in milliseconds after the start:
+A fault. Times are in milliseconds after the start.
 
-- `store-quiet`: watches hear nothing; one whose wait ends comes back empty with the newest revision. At the end the store
-  drops its history and cuts the watches that wait.
-- `store-down`: no call is served, connections are reset or answers never come.
-- `store-slow`: each answer comes later.
-- `store-refuses`: the same, but for a share of the nodes only, or for all that follow it for the others.
-- `node-lost`: a process that ends (`reset`), or a machine that is no more (`silence`).
-- `node-restarted`: a process that ends, and a new one in its place after a while.
-- `links-lost`: all open links of a node break or fall silent; new ones work.
-- `links-cut`: nothing passes between two data centres meanwhile.
-- `state-unanswered`: a node answers no call for its whole state, while its links live.
+- `store-quiet`: watches deliver no events; one that ends returns no changes, with the latest revision. At the end the store
+  drops its history and interrupts open watches.
+- `store-down`: no call succeeds; connections are reset or answers never arrive.
+- `store-slow`: each answer has added latency.
+- `store-refuses`: no call succeeds for a share of the nodes, or for all followers of the store.
+- `node-lost`: a process terminates (`reset`), or its VM is lost (`silence`).
+- `node-restarted`: a process terminates, and a new one replaces it later.
+- `links-lost`: all open links of a node break or drop all messages; new links work.
+- `links-cut`: a network partition between two data centres.
+- `state-unanswered`: a node never answers calls for its cluster state, while its links work.
 */
 export type PropagationFault =
 	| {readonly kind: 'store-quiet'; readonly atMs: number; readonly forMs: number}
--- a/emulator/beliefs/src/propagation-log-line.ts
+++ b/emulator/beliefs/src/propagation-log-line.ts
@@ -1,7 +1,7 @@
 import type {LogEvent} from '@valvesaddle/logger';
 
 /**
-A line of a node's log.
+A line of a node's log. The time is in milliseconds after the start.
 */
 export type PropagationLogLine = {
 	readonly atMs: number;
--- a/emulator/beliefs/src/propagation-node.ts
+++ b/emulator/beliefs/src/propagation-node.ts
@@ -3,7 +3,7 @@
 import type {Metrics} from '@valvesaddle/metrics';
 
 /**
-An emulated node.
+An emulated node that takes part in the propagation of the cluster state.
 */
 export type PropagationNode = {
 	readonly self: GatewayNode;
--- a/emulator/beliefs/src/propagation-options.ts
+++ b/emulator/beliefs/src/propagation-options.ts
@@ -5,7 +5,7 @@
 import type {PropagationFault} from './propagation-fault.ts';
 
 /**
-Options of `runSpreading`. Times are in milliseconds.
+Options of `runPropagation`. Times are in milliseconds.
 */
 export type PropagationOptions = {
 	readonly nodes: number;
@@ -15,17 +15,17 @@
 	readonly seed: number;
 	readonly links: LinkTraits;
 	/**
-	In the order of their times.
+	Sorted by time.
 	*/
 	readonly changes: readonly PropagationChange[];
 	readonly faults: readonly PropagationFault[];
 	readonly settings: Pick<GatewaySettings, 'store' | 'peers'>;
 	/**
-	Work that each node has to tell of with each message, as if it sent requests; none where it is not given.
+	Size of the load updates that each node sends, as if it had requests; none if omitted.
 	*/
 	readonly loadUpdates?: LoadUpdateSize;
 	/**
-	Whether the nodes' lines are kept for the report.
+	Whether the report contains the nodes' log lines.
 	*/
 	readonly isLogged?: boolean;
 };
--- a/emulator/beliefs/src/propagation-report.ts
+++ b/emulator/beliefs/src/propagation-report.ts
@@ -1,7 +1,7 @@
 import type {PropagationLogLine} from './propagation-log-line.ts';
 
 /**
-When the nodes believed what was written. Times are in milliseconds after the start. Nodes that were lost are left out.
+When the nodes applied the changes written to the store. Times are in milliseconds after the start. Terminated nodes are left out.
 */
 export type PropagationReport = {
 	readonly changes: ReadonlyArray<{
@@ -12,35 +12,35 @@
 		readonly subject: string;
 		readonly writtenAtMs: number;
 		/**
-		When each node had it, by the node's id; 0 or later.
+		Time at which each node applied the change, by the node's id.
 		*/
 		readonly appliedAtMs: ReadonlyMap<string, number>;
 		/**
-		When the last of those that ever had it did, but for nodes that were started later.
+		Time at which the last node applied it, without nodes that started after the write.
 		*/
 		readonly lastAtMs: number;
 		/**
-		Nodes that never had it.
+		Ids of the nodes that never applied it.
 		*/
 		readonly missing: readonly string[];
 	}>;
 	/**
-	Whole states that nodes had from peers.
+	Full cluster states that nodes received from peers.
 	*/
 	readonly statesFromPeers: number;
 	readonly bytesSent: number;
 	readonly messagesSent: number;
 	readonly watchesInterrupted: number;
 	/**
-	Watches that came back empty although something had changed.
+	Watches that ended without changes although there were some.
 	*/
 	readonly watchesMissed: number;
 	/**
-	Calls on the store, by their name.
+	Calls of the store, by name.
 	*/
 	readonly storeCalls: Readonly<Record<string, number>>;
 	/**
-	Empty unless they are asked for.
+	Log lines of the nodes; empty unless `isLogged` is set.
 	*/
 	readonly lines: readonly PropagationLogLine[];
 };
--- a/emulator/beliefs/src/propagation-target.ts
+++ b/emulator/beliefs/src/propagation-target.ts
@@ -1,10 +1,10 @@
 /**
-A node by what it does when a fault begins: a relay that follows the store, one that does not, or any other node.
+A node by its role when a fault starts: a relay that watches the store (`follower`), another relay, or a member.
 */
 export type PropagationTarget = {
 	readonly role: 'follower' | 'relay' | 'member';
 	/**
-	Place among the nodes of that role, from 0.
+	Index among the nodes of that role.
 	*/
 	readonly nth: number;
 };
--- a/emulator/beliefs/src/run-propagation.ts
+++ b/emulator/beliefs/src/run-propagation.ts
@@ -21,15 +21,15 @@
 import type {WrittenChange} from './written-change.ts';
 
 /**
-Added to the seed for the draws of the nodes, which must not follow those of links and store.
+Added to the seed for the random numbers of the nodes, so that they are independent of those of links and store.
 */
-const drawSeed = 1_000_003;
+const nodeSeed = 1_000_003;
 /**
-Time within which the nodes of a fleet start, in milliseconds.
+Time over which the starts of the nodes are spread, in milliseconds.
 */
 const startSpreadMs = 500;
 /**
-Size of the random part of a node's id, as the gateway draws it.
+Size of the random suffix of a node's id, the same as in the gateway.
 */
 const idValues = 2 ** 32;
 const idDigits = 8;
@@ -40,24 +40,24 @@
 */
 const firstVersion = 1;
 /**
-Time in which the nodes stop after the end, in milliseconds.
+Time that the nodes get to close after the run, in milliseconds.
 */
 const closeMs = 1000;
 /**
-Endpoints of a subnet in emulated addresses.
+Maximum addresses in an emulated subnet.
 */
 const subnetSize = 250;
 
 /**
- Lets the nodes of a fleet spread what is written to the store, under faults, and tells when each of them believed it. The
- clock of the runtime is paused and its random numbers are seeded meanwhile, so only one such run may be under way.
+ Writes changes to an emulated store, under faults, and reports when each node of a fleet applied them. The clock of the
+ process is paused and `Math.random` is seeded meanwhile, so only one run at a time is possible.
 
  @example
- const {changes} = await runSpreading({nodes: 40, dataCentres: ['a', 'b'], endpoints: 60, lengthMs: 12_000, seed: 7, links, settings, changes: [{kind: 'configuration', atMs: 8000}], faults: []});
+ const {changes} = await runPropagation({nodes: 40, dataCentres: ['a', 'b'], endpoints: 60, lengthMs: 12_000, seed: 7, links, settings, changes: [{kind: 'configuration', atMs: 8000}], faults: []});
  changes[0].missing; // []
  */
 export async function runPropagation(options: PropagationOptions): Promise<PropagationReport> {
-	const runtime = createPausedRuntime(options.seed + drawSeed);
+	const runtime = createPausedRuntime(options.seed + nodeSeed);
 	try {
 		return await runFleet(options, runtime);
 	} finally {
@@ -70,7 +70,7 @@
 	const {settings} = options;
 	const lines: PropagationLogLine[] = [];
 	const stateUnanswered = new Set<string>();
-	const lost = new Set<string>();
+	const ended = new Set<string>();
 	const store = createEmulatedStore({timeoutMs: settings.store.timeout_ms, random});
 	const hub = createLinkHub({traits: options.links, random});
 	const nodes: PropagationNode[] = [];
@@ -87,7 +87,7 @@
 					lines.push({atMs: runtime.now(), node: self.id, event});
 				}
 			}),
-			...(options.loadUpdates !== undefined && {takeNews: createEmulatedLoadUpdates({work: options.loadUpdates, endpoints: options.endpoints, random})}),
+			...(options.loadUpdates !== undefined && {takeLoadUpdate: createEmulatedLoadUpdates({size: options.loadUpdates, endpoints: options.endpoints, random})}),
 			isStateUnanswered: () => stateUnanswered.has(self.id),
 		});
 		nodes.push(node);
@@ -95,19 +95,19 @@
 		node.start();
 	};
 
-	const listLiving = (): readonly PropagationNode[] => nodes.filter(({self}) => !lost.has(self.id));
+	const listLive = (): readonly PropagationNode[] => nodes.filter(({self}) => !ended.has(self.id));
 	const endpoints = Array.from({length: options.endpoints}, (_value, index) => createEndpoint(index, options.dataCentres));
-	const listLivingRole = (role: PropagationTarget['role']): readonly string[] => listByRole(listLiving().map(({self}) => self), {role, meshNodes: settings.peers.mesh_nodes});
-	const tools: FaultContext = {
+	const listLiveByRole = (role: PropagationTarget['role']): readonly string[] => listByRole(listLive().map(({self}) => self), {role, meshNodes: settings.peers.mesh_nodes});
+	const context: FaultContext = {
 		runtime,
 		random,
 		store,
 		hub,
 		listNodes: () => nodes.map(({self}) => self.id),
-		listFollowers: () => listLivingRole('follower'),
-		findTarget: ({role, nth}) => listLivingRole(role)[nth]!,
+		listFollowers: () => listLiveByRole('follower'),
+		findTarget: ({role, nth}) => listLiveByRole(role)[nth]!,
 		endNode(id, how) {
-			lost.add(id);
+			ended.add(id);
 			hub.endNode(id, how);
 			store.endNode(id);
 			nodes.find(({self}) => self.id === id)!.close();
@@ -133,7 +133,7 @@
 
 	for (const fault of options.faults) {
 		runtime.add(fault.atMs, () => {
-			startFault(fault, tools);
+			startFault(fault, context);
 		});
 	}
 
@@ -150,25 +150,25 @@
 
 	await runtime.advance(options.lengthMs);
 	const report = summarizeNodes(nodes);
-	const changes = record.summarize(listLiving());
+	const changes = record.summarize(listLive());
 	const storeFigures = {storeCalls: {...store.calls()}, watchesMissed: store.countMissedWatches()};
-	const written = [...lines];
-	for (const node of listLiving()) {
+	const logged = [...lines];
+	for (const node of listLive()) {
 		node.close();
 	}
 
 	await runtime.advance(options.lengthMs + closeMs);
 	return {
-		...report, ...storeFigures, changes, lines: written,
+		...report, ...storeFigures, changes, lines: logged,
 	};
 }
 
 function createSelf(index: number, dataCentres: readonly string[], random: () => number): GatewayNode {
-	const drawn = Math.floor(random() * idValues).toString(hexadecimal).padStart(idDigits, '0');
+	const suffix = Math.floor(random() * idValues).toString(hexadecimal).padStart(idDigits, '0');
 	return {
-		id: `n-${index}.${drawn}`,
+		id: `n-${index}.${suffix}`,
 		address: `10.0.${Math.floor(index / subnetSize)}.${index % subnetSize}:7100`,
-		token: drawn,
+		token: suffix,
 		dataCentre: dataCentres[index % dataCentres.length]!,
 		capacity: 1,
 	};
@@ -191,7 +191,7 @@
 		warn: write,
 		error: write,
 		async flush() {
-			// Nothing is held back.
+			// Nothing is buffered.
 		},
 	};
 }
@@ -200,7 +200,7 @@
 	readonly store: EmulatedStore;
 	readonly endpoints: readonly ServingEndpoint[];
 	/**
-	Version of a configuration that is written now.
+	Version of the configuration, if the change writes one.
 	*/
 	readonly version: number;
 	readonly now: number;
@@ -226,7 +226,7 @@
 		kind: change.kind,
 		subject: id,
 		writtenAtMs: now,
-		// An endpoint that is believed gone takes no requests either.
+		// A removed endpoint gets no requests either, so it counts as draining.
 		isApplied: view => view.endpoints().every(known => known.id !== id || (change.kind === 'endpoint-draining' && known.state === 'draining')),
 	};
 }
--- a/emulator/beliefs/src/start-fault.ts
+++ b/emulator/beliefs/src/start-fault.ts
@@ -2,7 +2,7 @@
 import type {PropagationFault} from './propagation-fault.ts';
 
 type FaultHandlers = {
-	readonly [Kind in PropagationFault['kind']]: (fault: Extract<PropagationFault, {readonly kind: Kind}>, tools: FaultContext) => void;
+	readonly [Kind in PropagationFault['kind']]: (fault: Extract<PropagationFault, {readonly kind: Kind}>, context: FaultContext) => void;
 };
 
 const faultHandlers: FaultHandlers = {
@@ -57,12 +57,12 @@
 };
 
 /**
- Starts a fault, and plans its end.
+ Starts a fault, and schedules its end.
 
  @example
- startFault({kind: 'store-slow', atMs: 0, forMs: 900, addedMs: 300}, tools);
+ startFault({kind: 'store-slow', atMs: 0, forMs: 900, addedMs: 300}, context);
  */
-export function startFault(fault: PropagationFault, tools: FaultContext): void {
-	const handle = faultHandlers[fault.kind] as (fault: PropagationFault, tools: FaultContext) => void;
-	handle(fault, tools);
+export function startFault(fault: PropagationFault, context: FaultContext): void {
+	const handle = faultHandlers[fault.kind] as (fault: PropagationFault, context: FaultContext) => void;
+	handle(fault, context);
 }
--- a/emulator/beliefs/src/store-response-mode.ts
+++ b/emulator/beliefs/src/store-response-mode.ts
@@ -1,4 +1,4 @@
 /**
-How the store treats a call: as it should, or it refuses it by an answer, breaks the connection or never answers.
+How the store responds to a call: normally, with an error status, with a broken connection or not at all.
 */
 export type StoreResponseMode = 'served' | 'status' | 'reset' | 'silence';
--- a/emulator/beliefs/src/written-change.ts
+++ b/emulator/beliefs/src/written-change.ts
@@ -1,7 +1,7 @@
 import type {ClusterView} from '@valvesaddle/cluster-view';
 
 /**
-A change that the store has acknowledged.
+A change that was written to the store.
 */
 export type WrittenChange = {
 	readonly kind: string;
--- a/emulator/beliefs/test/propagation.test.ts
+++ b/emulator/beliefs/test/propagation.test.ts
@@ -8,12 +8,11 @@
 } from '@valvesaddle/emulator-beliefs';
 
 /**
-Time in which a change has to be believed everywhere at this size, in milliseconds; `docs/DEVELOPERS.md` allows 4 s at 380
-nodes.
+Maximum time until every node has applied a change, in milliseconds; `docs/DEVELOPERS.md` allows 4 s at 380 nodes.
 */
 const boundMs = 3000;
 /**
-Time by which the fleet has formed, in milliseconds: 500 ms of starts, and the links and leases that follow.
+Time by which all nodes have started and have their links and leases, in milliseconds.
 */
 const formedMs = 4000;
 
@@ -29,23 +28,22 @@
 };
 
 /**
-Each change that some node had later than allowed, or never, in words.
+Describes each change that some node applied too late or never.
 */
 function listLate({changes}: PropagationReport, fromMs = 0): readonly string[] {
 	return changes.flatMap(({kind, subject, writtenAtMs, appliedAtMs, lastAtMs, missing}) => {
 		const delayMs = lastAtMs - Math.max(writtenAtMs, fromMs);
-		return missing.length > 0 || delayMs > boundMs ? [`${kind} ${subject}: ${appliedAtMs.size} nodes had it, ${missing.length} never, the last after ${delayMs} ms`] : [];
+		return missing.length > 0 || delayMs > boundMs ? [`${kind} ${subject}: ${appliedAtMs.size} nodes applied it, ${missing.length} never, the last after ${delayMs} ms`] : [];
 	});
 }
 
 /**
-A watch whose wait ends without any change confirms nothing after the revision that it began at. One that comes back empty with
-the newest revision of the store, while the watches hear nothing, must not make a node count as up to date: nodes at the same
-revision would ask each other for nothing. This was not seen on a running fleet; nothing would have mended it there.
+Guards against treating an empty watch result as proof that the node is up to date at the revision of that result: nodes at the
+same revision don't request missing changes from each other.
 */
-test('what was written while the watches of the store heard nothing is believed everywhere in time after they are cut', async t => {
-	// The configuration before lets the four followers begin new watches, whose waits of 3 s end about when the quiet does: in
-	// some runs all of them are cut before, in the last none waits any more.
+test('changes written while watches deliver no events are applied on every node in time after the watches are interrupted', async t => {
+	// After the first configuration the four followers start new watches of 3 s, which end at about the end of the fault: in some
+	// runs all watches are interrupted before that, in the last run none is open any more.
 	const missed: number[] = [];
 	for (const {seed, quietMs} of [
 		{seed: 1, quietMs: 1100},
@@ -73,17 +71,17 @@
 		t.same(listLate(report, quietAtMs + quietMs), [], `seed ${seed}, ${quietMs} ms`);
 	}
 
-	t.ok(missed.some(count => count > 0), 'watches came back empty in spite of the changes');
-	t.ok(missed.includes(0), 'and in another run none did');
+	t.ok(missed.some(count => count > 0), 'some watches ended without the changes');
+	t.ok(missed.includes(0), 'in another run none did');
 });
 
 /**
-A node that is behind asks one peer for its whole state, and no other until the call has ended. The call had no deadline: a
-peer that did not answer it while the link lived kept those that had asked it behind for good.
+Guards against a catch-up call without a timeout: a node that is behind waits for one peer at a time, so a peer that never
+answers would keep it behind forever.
 */
-test('a peer that never answers a call for its state, while its links live, keeps nobody behind', async t => {
+test('a peer that never answers a call for its cluster state, while its links work, keeps no node behind', async t => {
 	for (const role of ['relay', 'follower'] as const) {
-		// All watches are cut at once, so what was written comes by lists, and from peers only when they are asked.
+		// All watches are interrupted at once, so changes arrive by lists, and from peers only on request.
 		const quietMs = 40;
 		const quietAtMs = formedMs + 1000;
 		// eslint-disable-next-line no-await-in-loop -- the clock of the runtime is paused for one run at a time
@@ -100,17 +98,16 @@
 				{kind: 'store-quiet', atMs: quietAtMs, forMs: quietMs},
 			],
 		});
-		t.equal(report.watchesMissed, 0, 'no watch came back empty');
+		t.equal(report.watchesMissed, 0, 'no watch ended without the changes');
 		t.same(listLate(report), [], role);
 	}
 });
 
 /**
-An endpoint that is missing shortly after the store came back may only have lapsed, so followers keep it for two seconds. The
-first whose time was over confirmed this to the others, who then told their whole state as one that lacks nothing, with the
-removed endpoint still in it. Nodes that took it over kept the endpoint for good.
+Guards against a follower that sends its state as complete while it still holds a pending removal: nodes that apply the state
+would keep the endpoint forever.
 */
-test('an endpoint that is removed shortly after the store came back is gone everywhere in time', async t => {
+test('an endpoint removed shortly after the store is reachable again is removed on every node in time', async t => {
 	const backAtMs = formedMs + 990;
 	for (const seed of [1, 2, 3, 5, 8]) {
 		// eslint-disable-next-line no-await-in-loop -- the clock of the runtime is paused for one run at a time
@@ -132,11 +129,10 @@
 });
 
 /**
-Nodes turn to the store themselves when they have heard for 1.5 s of nobody that is in touch with it. Heartbeats tell how old
-the last such sign is, and each that took it over counted from when the message came: the sign was younger by the time the
-message had been under way. Relays tell each other, so over slow links it never grew old.
+Guards against nodes that never call the store themselves: if the age of a confirmation ignored the latency of each heartbeat
+that forwards it, it would never expire between relays over slow links.
 */
-test('a store that refuses all that follow it for the others, over slow links, is asked by others in time', async t => {
+test('other nodes call the store in time when it refuses all its followers, over slow links', async t => {
 	for (const farMs of [12, 40, 80]) {
 		// eslint-disable-next-line no-await-in-loop -- the clock of the runtime is paused for one run at a time
 		const report = await runPropagation({
@@ -153,11 +149,10 @@
 });
 
 /**
-A follower of the store was told of a change by another one that was not yet sure of its revision, and passed on its own word of
-that revision without the change, since it was not new to itself. Relays that had missed the first message stood at the revision
-without the change; 28 of 39 nodes never heard that an endpoint drained.
+Guards against a follower that confirms a revision without forwarding a change that it already received from another follower:
+relays that missed the change would stay at that revision without it.
 */
-test('a change that a follower has heard from another before is passed on with its revision', async t => {
+test('a follower forwards a change with its revision even if it received the change from another follower first', async t => {
 	const report = await runPropagation({
 		...fleet,
 		lengthMs: 17_000,
@@ -186,27 +181,27 @@
 const follower = {role: 'follower', nth: 0} as const;
 const faultAtMs = formedMs + 900;
 /**
-What a fleet has to bear, each by itself.
+Faults under which changes must arrive in time, each in its own run.
 */
-const usualFaults: ReadonlyArray<{readonly name: string; readonly faults: PropagationOptions['faults']; readonly lossShare?: number}> = [
+const faultCases: ReadonlyArray<{readonly name: string; readonly faults: PropagationOptions['faults']; readonly lossShare?: number}> = [
 	{name: 'lossy links', faults: [], lossShare: 0.05},
 	{
-		name: 'a relay that ends', faults: [{
+		name: 'a relay that terminates', faults: [{
 			kind: 'node-lost', atMs: faultAtMs, how: 'reset', target: relay,
 		}],
 	},
 	{
-		name: 'a relay whose machine is lost', faults: [{
+		name: 'a relay whose VM is lost', faults: [{
 			kind: 'node-lost', atMs: faultAtMs, how: 'silence', target: relay,
 		}],
 	},
 	{
-		name: 'a follower of the store whose machine is lost', faults: [{
+		name: 'a follower of the store whose VM is lost', faults: [{
 			kind: 'node-lost', atMs: faultAtMs, how: 'silence', target: follower,
 		}],
 	},
 	{
-		name: 'a follower of the store and a relay that are started again', faults: [
+		name: 'a follower of the store and a relay that are restarted', faults: [
 			{
 				kind: 'node-restarted', atMs: faultAtMs, forMs: 400, target: follower,
 			},
@@ -216,7 +211,7 @@
 		],
 	},
 	{
-		name: 'open links that fall silent', faults: [{
+		name: 'open links that drop all messages', faults: [{
 			kind: 'links-lost', atMs: faultAtMs, how: 'silence', target: follower,
 		}],
 	},
@@ -231,14 +226,14 @@
 		}], lossShare: 0.05,
 	},
 	{
-		name: 'two data centres that lose each other', faults: [{
+		name: 'a partition between two data centres', faults: [{
 			kind: 'links-cut', atMs: faultAtMs, forMs: 4000, between: ['a', 'b'],
 		}],
 	},
 ];
 
-for (const {name, faults, lossShare = 0} of usualFaults) {
-	test(`every change is believed everywhere in time: ${name}`, async t => {
+for (const {name, faults, lossShare = 0} of faultCases) {
+	test(`every change is applied on every node in time: ${name}`, async t => {
 		const report = await runPropagation({
 			...fleet,
 			seed: 3,
@@ -257,7 +252,7 @@
 
 const inspectOptions = {depth: Infinity, maxArrayLength: Infinity};
 
-test('the same options and seed give the same report, another seed another one, and the runtime its clock back', async t => {
+test('the same options and seed give the same report, another seed another one, and the clock is restored', async t => {
 	const {now} = performance;
 	const run = async (seed: number) => runPropagation({
 		...fleet, nodes: 20, lengthMs: 3000, seed, changes: [{kind: 'configuration', atMs: 2000}], faults: [], isLogged: true,
@@ -270,10 +265,10 @@
 });
 
 /**
-Each node of a fleet renewed its lease of a minute every three seconds, and at a start watched the store three times a second until
-a peer spoke for it. Calls are paid for, and their rates grow more slowly than fleets do.
+Guards against store calls that grow with the fleet beyond the start and the lease renewals of each node; the store bills and
+limits calls.
 */
-test('nodes that others watch for call the store no more often than their start and their leases ask', async t => {
+test('nodes with a follower call the store only for their start and their leases', async t => {
 	const nodes = 80;
 	const {storeCalls} = await runPropagation({
 		...fleet, nodes, lengthMs: 16_000, seed: 1, changes: [], faults: [],
@@ -286,14 +281,13 @@
 });
 
 /**
-While the store refused all calls, each node that follows it asked it again two or three times a second, for as long as that lasted. Refused
-calls are paid for too, and a fleet needs to know within a second that the store is back.
+Guards against frequent retries during a store outage; refused calls are billed too.
 */
-test('a store that is down is asked about once a second by each of those that follow it', async t => {
+test('each follower calls an unavailable store about once a second', async t => {
 	const nodes = 9;
 	const downS = 8;
-	// Pauses are up to half shorter by lot; a list at the start and one after the outage have two pages each.
-	const mostTries = 1.5 * downS;
+	// Retry delays are randomly up to half shorter; a list at the start and one after the outage have two pages each.
+	const maximumAttempts = 1.5 * downS;
 	const pages = 4;
 	const {storeCalls, changes} = await runPropagation({
 		...fleet,
@@ -305,7 +299,7 @@
 			kind: 'store-down', atMs: 6000, forMs: downS * 1000, how: 'reset',
 		}],
 	});
-	t.ok((storeCalls.list ?? 0) <= nodes * (mostTries + pages), `${storeCalls.list} pages`);
+	t.ok((storeCalls.list ?? 0) <= nodes * (maximumAttempts + pages), `${storeCalls.list} pages`);
 	t.ok((storeCalls.renew ?? 0) <= nodes * 20, `${storeCalls.renew} renewals in 20 s`);
 	t.same(changes.flatMap(({missing}) => missing), []);
 });
--- a/emulator/fleet/src/run-emulation.ts
+++ b/emulator/fleet/src/run-emulation.ts
@@ -22,7 +22,7 @@
 /**
 Added to the seed for the random numbers of the nodes, so that they are independent of those of the load.
 */
-const drawSeed = 1_000_003;
+const nodeSeed = 1_000_003;
 /**
 Added to the seed for the random numbers of the engines.
 */
@@ -70,7 +70,7 @@
 	const paused = new Clock();
 	const exit = paused.enter();
 	const {random: unseededRandom} = Math;
-	Math.random = createRandom(seed + drawSeed);
+	Math.random = createRandom(seed + nodeSeed);
 	try {
 		const random = createRandom(seed);
 		const clock = createEmulationClock(paused);
