--- a/emulator/beliefs/src/main.ts
+++ b/emulator/beliefs/src/main.ts
@@ -131,5 +131,5 @@
 	}
 
 	const summary = delays.entries().map(([key, {worstMs, missing}]) => `${key} ${worstMs} ms${missing > 0 ? `, never at ${missing} nodes` : ''}`).toArray();
-	process.stdout.write(`${name}: ${summary.join('; ')}; whole states ${totals.states}, bytes ${totals.bytes}\n`);
+	process.stdout.write(`${name}: ${summary.join('; ')}; full states ${totals.states}, bytes ${totals.bytes}\n`);
 }
--- a/emulator/beliefs/src/start-fault.ts
+++ b/emulator/beliefs/src/start-fault.ts
@@ -35,11 +35,11 @@
 	'node-lost'(fault, {findTarget, endNode}) {
 		endNode(findTarget(fault.target), fault.how);
 	},
-	'node-restarted'(fault, {runtime, findTarget, endNode, startReplacement: startAgain}) {
+	'node-restarted'(fault, {runtime, findTarget, endNode, startReplacement}) {
 		const node = findTarget(fault.target);
 		endNode(node, 'reset');
 		runtime.add(fault.atMs + fault.forMs, () => {
-			startAgain(node);
+			startReplacement(node);
 		});
 	},
 	'links-lost'(fault, {hub, findTarget}) {
--- a/emulator/engine/src/create-engine.ts
+++ b/emulator/engine/src/create-engine.ts
@@ -28,6 +28,7 @@
  Creates an emulated engine with continuous batching. It prefills prompts in the order of admission, with a limit on the
  tokens of a step, and generates one token a step for each request whose prefill is complete.
 
+ @param profile - Sizes and speeds of the engine.
  @param everCached - Prompt parts that some engine of the pool has prefilled; prefilling them again counts as recomputed. The
  engine adds to it.
  @example
--- a/emulator/fleet/src/create-prompt-source.ts
+++ b/emulator/fleet/src/create-prompt-source.ts
@@ -31,11 +31,11 @@
 	const sizes = new Map<string, number>();
 	let count = 0;
 
-	function drawSize({mean, spread, maximum: most}: CallerClass['own']): number {
+	function drawSize({mean, spread, maximum}: CallerClass['own']): number {
 		const logMean = Math.log(mean) - ((spread ** 2) / 2);
 		const drawTokens = randomLogNormal.source(random)(logMean, spread);
 		const tokens = Math.round(drawTokens());
-		return Math.max(1, Math.min(most, tokens));
+		return Math.max(1, Math.min(maximum, tokens));
 	}
 
 	function drawShared(kind: CallerClass): Prompt['metadata']['parts'] {
--- a/emulator/fleet/src/run-emulation.ts
+++ b/emulator/fleet/src/run-emulation.ts
@@ -116,7 +116,10 @@
 
 		clock.run(load.lengthMs + tailMs);
 		return {
-			...summarizeOutcomes(outcomes), ...countPrefill(endpoints.values().toArray()), connections, brokenNotices: endpoints.values().reduce((sum, endpoint) => sum + endpoint.countBrokenNotices(), 0),
+			...summarizeOutcomes(outcomes),
+			...countPrefill(endpoints.values().toArray()),
+			connections,
+			brokenNotices: endpoints.values().reduce((sum, endpoint) => sum + endpoint.countBrokenNotices(), 0),
 		};
 	} finally {
 		Math.random = unseededRandom;
--- a/emulator/fleet/src/summarize-outcomes.ts
+++ b/emulator/fleet/src/summarize-outcomes.ts
@@ -34,7 +34,7 @@
 		firstLate: count('firstLate'),
 		pauseLate: count('pauseLate'),
 		refused: count('refused'),
-		turnedAway: outcomes.filter(({wasRefused: wasTurnedAway}) => wasTurnedAway).length,
+		turnedAway: outcomes.filter(({wasRefused}) => wasRefused).length,
 		failed: count('failed'),
 		abandoned: count('abandoned'),
 		worth: measureWorth(outcomes),
--- a/emulator/loads/src/create-drafts-beside-queries.ts
+++ b/emulator/loads/src/create-drafts-beside-queries.ts
@@ -4,7 +4,16 @@
 A large engine: steps of about 6 ms, 50 ms to prefill the maximum tokens of a step.
 */
 const engine: EmulationLoad['engine'] = {
-	slots: 64, queue: 128, cacheTokens: 330_000, stepMs: 5.5, stepMsPerSequence: 0.03, stepMsPerThousandTokens: 0.015, prefillTokensPerMs: 43, prefillTokensPerStep: 2048, msPerMillionPairs: 0.5, tokensPerEvent: 3,
+	slots: 64,
+	queue: 128,
+	cacheTokens: 330_000,
+	stepMs: 5.5,
+	stepMsPerSequence: 0.03,
+	stepMsPerThousandTokens: 0.015,
+	prefillTokensPerMs: 43,
+	prefillTokensPerStep: 2048,
+	msPerMillionPairs: 0.5,
+	tokensPerEvent: 3,
 };
 /**
 Short prompts with long streamed answers and a pause objective.
--- a/emulator/loads/src/create-large-fleet.ts
+++ b/emulator/loads/src/create-large-fleet.ts
@@ -5,7 +5,16 @@
 A small engine: steps of about 3 ms, 17 ms to prefill the maximum tokens of a step.
 */
 const engine: EmulationLoad['engine'] = {
-	slots: 24, queue: 24, cacheTokens: 478_330, stepMs: 3.09, stepMsPerSequence: 0.02, stepMsPerThousandTokens: 0.007, prefillTokensPerMs: 61.8, prefillTokensPerStep: 1024, msPerMillionPairs: 0.4, tokensPerEvent: 7,
+	slots: 24,
+	queue: 24,
+	cacheTokens: 478_330,
+	stepMs: 3.09,
+	stepMsPerSequence: 0.02,
+	stepMsPerThousandTokens: 0.007,
+	prefillTokensPerMs: 61.8,
+	prefillTokensPerStep: 1024,
+	msPerMillionPairs: 0.4,
+	tokensPerEvent: 7,
 };
 const queries: CallerClass = {
 	name: 'queries', perSecond: 103, bursts: [{atMs: 6000, forMs: 4000, factor: 1.6}], objectiveMs: 254, pauseMs: 150, timeoutMs: 10_159, priority: 0, isResumable: true, attempts: 2,
