--- a/emulator/beliefs/src/create-spreading-node.ts
+++ b/emulator/beliefs/src/create-propagation-node.ts
@@ -8,20 +8,20 @@
 import type {GatewaySettings} from '@valvesaddle/settings';
 import {createEmulatedNetwork} from './create-emulated-network.ts';
 import type {LinkHub} from './link-hub.ts';
-import type {SpreadingNode} from './spreading-node.ts';
+import type {PropagationNode} from './propagation-node.ts';
 
-type SpreadingNodeOptions = {
+type PropagationNodeOptions = {
 	readonly self: GatewayNode;
 	readonly store: ClusterStore;
 	readonly hub: LinkHub;
 	readonly settings: Pick<GatewaySettings, 'store' | 'peers'>;
 	readonly logger: Logger;
 	/**
-	What the node has to tell of its work; nothing where it is not given.
+	Supplies the load updates of the node; none if omitted.
 	*/
-	readonly takeNews?: () => LoadUpdate;
+	readonly takeLoadUpdate?: () => LoadUpdate;
 	/**
-	Whether the node leaves calls for its whole state without an answer now.
+	Whether the node currently never answers calls for its cluster state.
 	*/
 	readonly isStateUnanswered: () => boolean;
 };
@@ -29,13 +29,13 @@
 const stateMethod = 'cluster.state';
 
 /**
- Creates a node from the real packages, wired as the gateway wires them.
+ Creates an emulated node from the packages of the gateway.
 
  @example
- const node = createSpreadingNode({self, store, hub, settings, logger, isStateUnanswered: () => false});
+ const node = createPropagationNode({self, store, hub, settings, logger, isStateUnanswered: () => false});
  node.start();
  */
-export function createSpreadingNode({self, store, hub, settings, logger, takeNews, isStateUnanswered}: SpreadingNodeOptions): SpreadingNode {
+export function createPropagationNode({self, store, hub, settings, logger, takeLoadUpdate, isStateUnanswered}: PropagationNodeOptions): PropagationNode {
 	const metrics = createMetrics();
 	const view = createClusterView({logger, metrics});
 	const follower = createStoreFollower({
@@ -58,10 +58,10 @@
 		self,
 		hub,
 		findAddress: id => view.nodes().find(node => node.id === id)?.address,
-		silenceMs: settings.peers.silence_ms,
+		linkTimeoutMs: settings.peers.silence_ms,
 		metrics,
 	});
-	// Nothing is chosen here.
+	// Only exchanges load updates; no endpoint is selected.
 	const selector = createSelector({
 		interferenceWeight: 0, riskWeight: 0, reuseMs: 1, rereadMsPerToken: 0, prefillTokensPerMs: 1,
 	});
@@ -70,7 +70,7 @@
 		network,
 		view,
 		follower,
-		selector: takeNews === undefined ? selector : {...selector, takeLoadUpdate: takeNews},
+		selector: takeLoadUpdate === undefined ? selector : {...selector, takeLoadUpdate: takeLoadUpdate},
 		loadUpdateMs: settings.peers.news_ms,
 		hasOpenRequests: () => true,
 		heartbeatMs: settings.peers.heartbeat_ms,
@@ -85,7 +85,7 @@
 		view,
 		metrics,
 		start() {
-			void network.listen(withSilence(handlers, isStateUnanswered));
+			void network.listen(withUnansweredState(handlers, isStateUnanswered));
 			follower.start();
 			sync.start();
 		},
@@ -98,7 +98,7 @@
 	};
 }
 
-function withSilence(handlers: PeerHandlers, isStateUnanswered: () => boolean): PeerHandlers {
+function withUnansweredState(handlers: PeerHandlers, isStateUnanswered: () => boolean): PeerHandlers {
 	const answerState = handlers[stateMethod]!;
 	return {
 		...handlers,
--- a/emulator/beliefs/src/fault-tools.ts
+++ b/emulator/beliefs/src/fault-context.ts
@@ -1,26 +1,26 @@
 import type {EmulatedStore} from './emulated-store.ts';
 import type {LinkHub} from './link-hub.ts';
 import type {PausedRuntime} from './paused-runtime.ts';
-import type {SpreadingTarget} from './spreading-target.ts';
+import type {PropagationTarget} from './propagation-target.ts';
 
 /**
-What faults need of an emulation.
+The parts of an emulation that faults act on.
 */
-export type FaultTools = {
+export type FaultContext = {
 	readonly runtime: PausedRuntime;
 	readonly random: () => number;
 	readonly store: EmulatedStore;
 	readonly hub: LinkHub;
 	readonly listNodes: () => readonly string[];
 	readonly listFollowers: () => readonly string[];
-	readonly findTarget: (target: SpreadingTarget) => string;
+	readonly findTarget: (target: PropagationTarget) => string;
 	/**
-	Ends a process, or a machine.
+	Terminates a process (`reset`) or its VM (`silence`).
 	*/
 	readonly endNode: (node: string, how: 'reset' | 'silence') => void;
 	/**
-	Starts a new process in the place of one that ended.
+	Starts a new process in place of a terminated one.
 	*/
-	readonly startAgain: (node: string) => void;
+	readonly startReplacement: (node: string) => void;
 	readonly setStateUnanswered: (node: string) => void;
 };
--- a/emulator/beliefs/src/spreading-line.ts
+++ b/emulator/beliefs/src/propagation-log-line.ts
@@ -1,9 +1,9 @@
 import type {LogEvent} from '@valvesaddle/logger';
 
 /**
-A line of a node's log.
+A line of a node's log. The time is in milliseconds after the start.
 */
-export type SpreadingLine = {
+export type PropagationLogLine = {
 	readonly atMs: number;
 	readonly node: string;
 	readonly event: LogEvent;
--- a/emulator/beliefs/src/spreading-node.ts
+++ b/emulator/beliefs/src/propagation-node.ts
@@ -3,9 +3,9 @@
 import type {Metrics} from '@valvesaddle/metrics';
 
 /**
-An emulated node.
+An emulated node that takes part in the propagation of the cluster state.
 */
-export type SpreadingNode = {
+export type PropagationNode = {
 	readonly self: GatewayNode;
 	readonly view: ClusterView;
 	readonly metrics: Metrics;
--- a/emulator/beliefs/src/run-spreading.ts
+++ b/emulator/beliefs/src/run-propagation.ts
@@ -3,33 +3,33 @@
 import {createRandom} from '@valvesaddle/random';
 import {createChangeRecord} from './create-change-record.ts';
 import {createEmulatedConfiguration} from './create-emulated-configuration.ts';
-import {createEmulatedNews} from './create-emulated-news.ts';
+import {createEmulatedLoadUpdates} from './create-emulated-load-updates.ts';
 import {createEmulatedStore} from './create-emulated-store.ts';
 import {createLinkHub} from './create-link-hub.ts';
 import {createPausedRuntime} from './create-paused-runtime.ts';
-import {createSpreadingNode} from './create-spreading-node.ts';
+import {createPropagationNode} from './create-propagation-node.ts';
 import type {EmulatedStore} from './emulated-store.ts';
-import type {FaultTools} from './fault-tools.ts';
-import {listRole} from './list-role.ts';
-import type {SpreadingChange} from './spreading-change.ts';
-import type {SpreadingLine} from './spreading-line.ts';
-import type {SpreadingNode} from './spreading-node.ts';
-import type {SpreadingOptions} from './spreading-options.ts';
-import type {SpreadingReport} from './spreading-report.ts';
-import type {SpreadingTarget} from './spreading-target.ts';
+import type {FaultContext} from './fault-context.ts';
+import {listByRole} from './list-by-role.ts';
+import type {PropagationChange} from './propagation-change.ts';
+import type {PropagationLogLine} from './propagation-log-line.ts';
+import type {PropagationNode} from './propagation-node.ts';
+import type {PropagationOptions} from './propagation-options.ts';
+import type {PropagationReport} from './propagation-report.ts';
+import type {PropagationTarget} from './propagation-target.ts';
 import {startFault} from './start-fault.ts';
 import type {WrittenChange} from './written-change.ts';
 
 /**
-Added to the seed for the draws of the nodes, which must not follow those of links and store.
+Added to the seed for the random numbers of the nodes, so that they are independent of those of links and store.
 */
-const drawSeed = 1_000_003;
+const nodeSeed = 1_000_003;
 /**
-Time within which the nodes of a fleet start, in milliseconds.
+Time over which the starts of the nodes are spread, in milliseconds.
 */
 const startSpreadMs = 500;
 /**
-Size of the random part of a node's id, as the gateway draws it.
+Size of the random suffix of a node's id, the same as in the gateway.
 */
 const idValues = 2 ** 32;
 const idDigits = 8;
@@ -40,24 +40,24 @@
 */
 const firstVersion = 1;
 /**
-Time in which the nodes stop after the end, in milliseconds.
+Time that the nodes get to close after the run, in milliseconds.
 */
 const closeMs = 1000;
 /**
-Endpoints of a subnet in emulated addresses.
+Maximum addresses in an emulated subnet.
 */
 const subnetSize = 250;
 
 /**
- Lets the nodes of a fleet spread what is written to the store, under faults, and tells when each of them believed it. The
- clock of the runtime is paused and its random numbers are seeded meanwhile, so only one such run may be under way.
+ Writes changes to an emulated store, under faults, and reports when each node of a fleet applied them. The clock of the
+ process is paused and `Math.random` is seeded meanwhile, so only one run at a time is possible.
 
  @example
- const {changes} = await runSpreading({nodes: 40, dataCentres: ['a', 'b'], endpoints: 60, lengthMs: 12_000, seed: 7, links, settings, changes: [{kind: 'configuration', atMs: 8000}], faults: []});
+ const {changes} = await runPropagation({nodes: 40, dataCentres: ['a', 'b'], endpoints: 60, lengthMs: 12_000, seed: 7, links, settings, changes: [{kind: 'configuration', atMs: 8000}], faults: []});
  changes[0].missing; // []
  */
-export async function runSpreading(options: SpreadingOptions): Promise<SpreadingReport> {
-	const runtime = createPausedRuntime(options.seed + drawSeed);
+export async function runPropagation(options: PropagationOptions): Promise<PropagationReport> {
+	const runtime = createPausedRuntime(options.seed + nodeSeed);
 	try {
 		return await runFleet(options, runtime);
 	} finally {
@@ -65,19 +65,19 @@
 	}
 }
 
-async function runFleet(options: SpreadingOptions, runtime: FaultTools['runtime']): Promise<SpreadingReport> {
+async function runFleet(options: PropagationOptions, runtime: FaultContext['runtime']): Promise<PropagationReport> {
 	const random = createRandom(options.seed);
 	const {settings} = options;
-	const lines: SpreadingLine[] = [];
+	const lines: PropagationLogLine[] = [];
 	const stateUnanswered = new Set<string>();
-	const lost = new Set<string>();
+	const ended = new Set<string>();
 	const store = createEmulatedStore({timeoutMs: settings.store.timeout_ms, random});
 	const hub = createLinkHub({traits: options.links, random});
-	const nodes: SpreadingNode[] = [];
+	const nodes: PropagationNode[] = [];
 	const record = createChangeRecord({now: runtime.now});
 	const startNode = (index: number): void => {
 		const self = createSelf(index, options.dataCentres, random);
-		const node = createSpreadingNode({
+		const node = createPropagationNode({
 			self,
 			store: store.open(self),
 			hub,
@@ -87,7 +87,7 @@
 					lines.push({atMs: runtime.now(), node: self.id, event});
 				}
 			}),
-			...(options.work !== undefined && {takeNews: createEmulatedNews({work: options.work, endpoints: options.endpoints, random})}),
+			...(options.loadUpdates !== undefined && {takeLoadUpdate: createEmulatedLoadUpdates({size: options.loadUpdates, endpoints: options.endpoints, random})}),
 			isStateUnanswered: () => stateUnanswered.has(self.id),
 		});
 		nodes.push(node);
@@ -95,24 +95,24 @@
 		node.start();
 	};
 
-	const listLiving = (): readonly SpreadingNode[] => nodes.filter(({self}) => !lost.has(self.id));
+	const listLive = (): readonly PropagationNode[] => nodes.filter(({self}) => !ended.has(self.id));
 	const endpoints = Array.from({length: options.endpoints}, (_value, index) => createEndpoint(index, options.dataCentres));
-	const listLivingRole = (role: SpreadingTarget['role']): readonly string[] => listRole(listLiving().map(({self}) => self), {role, meshNodes: settings.peers.mesh_nodes});
-	const tools: FaultTools = {
+	const listLiveByRole = (role: PropagationTarget['role']): readonly string[] => listByRole(listLive().map(({self}) => self), {role, meshNodes: settings.peers.mesh_nodes});
+	const context: FaultContext = {
 		runtime,
 		random,
 		store,
 		hub,
 		listNodes: () => nodes.map(({self}) => self.id),
-		listFollowers: () => listLivingRole('follower'),
-		findTarget: ({role, nth}) => listLivingRole(role)[nth]!,
+		listFollowers: () => listLiveByRole('follower'),
+		findTarget: ({role, nth}) => listLiveByRole(role)[nth]!,
 		endNode(id, how) {
-			lost.add(id);
+			ended.add(id);
 			hub.endNode(id, how);
 			store.endNode(id);
 			nodes.find(({self}) => self.id === id)!.close();
 		},
-		startAgain(id) {
+		startReplacement(id) {
 			startNode(Number(indexPattern.exec(id)!.groups!.index));
 		},
 		setStateUnanswered(id) {
@@ -133,7 +133,7 @@
 
 	for (const fault of options.faults) {
 		runtime.add(fault.atMs, () => {
-			startFault(fault, tools);
+			startFault(fault, context);
 		});
 	}
 
@@ -150,25 +150,25 @@
 
 	await runtime.advance(options.lengthMs);
 	const report = summarizeNodes(nodes);
-	const changes = record.summarize(listLiving());
-	const storeFigures = {storeCalls: {...store.calls()}, watchesDeaf: store.countDeafWatches()};
-	const written = [...lines];
-	for (const node of listLiving()) {
+	const changes = record.summarize(listLive());
+	const storeFigures = {storeCalls: {...store.calls()}, watchesMissed: store.countMissedWatches()};
+	const logged = [...lines];
+	for (const node of listLive()) {
 		node.close();
 	}
 
 	await runtime.advance(options.lengthMs + closeMs);
 	return {
-		...report, ...storeFigures, changes, lines: written,
+		...report, ...storeFigures, changes, lines: logged,
 	};
 }
 
 function createSelf(index: number, dataCentres: readonly string[], random: () => number): GatewayNode {
-	const drawn = Math.floor(random() * idValues).toString(hexadecimal).padStart(idDigits, '0');
+	const suffix = Math.floor(random() * idValues).toString(hexadecimal).padStart(idDigits, '0');
 	return {
-		id: `n-${index}.${drawn}`,
+		id: `n-${index}.${suffix}`,
 		address: `10.0.${Math.floor(index / subnetSize)}.${index % subnetSize}:7100`,
-		token: drawn,
+		token: suffix,
 		dataCentre: dataCentres[index % dataCentres.length]!,
 		capacity: 1,
 	};
@@ -185,13 +185,13 @@
 	};
 }
 
-function createLineLogger(write: (event: SpreadingLine['event']) => void): Logger {
+function createLineLogger(write: (event: PropagationLogLine['event']) => void): Logger {
 	return {
 		info: write,
 		warn: write,
 		error: write,
 		async flush() {
-			// Nothing is held back.
+			// Nothing is buffered.
 		},
 	};
 }
@@ -200,17 +200,17 @@
 	readonly store: EmulatedStore;
 	readonly endpoints: readonly ServingEndpoint[];
 	/**
-	Version of a configuration that is written now.
+	Version of the configuration, if the change writes one.
 	*/
 	readonly version: number;
 	readonly now: number;
 };
 
-function writeChange(change: SpreadingChange, {store, endpoints, version, now}: WriteOptions): WrittenChange {
+function writeChange(change: PropagationChange, {store, endpoints, version, now}: WriteOptions): WrittenChange {
 	if (change.kind === 'configuration') {
 		store.writeConfiguration(createEmulatedConfiguration(version));
 		return {
-			kind: change.kind, subject: String(version), writtenAtMs: now, isBelieved: view => (view.configuration()?.version ?? 0) >= version,
+			kind: change.kind, subject: String(version), writtenAtMs: now, isApplied: view => (view.configuration()?.version ?? 0) >= version,
 		};
 	}
 
@@ -226,17 +226,17 @@
 		kind: change.kind,
 		subject: id,
 		writtenAtMs: now,
-		// An endpoint that is believed gone takes no requests either.
-		isBelieved: view => view.endpoints().every(known => known.id !== id || (change.kind === 'endpoint-draining' && known.state === 'draining')),
+		// A removed endpoint gets no requests either, so it counts as draining.
+		isApplied: view => view.endpoints().every(known => known.id !== id || (change.kind === 'endpoint-draining' && known.state === 'draining')),
 	};
 }
 
-function summarizeNodes(nodes: readonly SpreadingNode[]): Pick<SpreadingReport, 'statesAsked' | 'bytesSent' | 'messagesSent' | 'watchesCut'> {
+function summarizeNodes(nodes: readonly PropagationNode[]): Pick<PropagationReport, 'statesFromPeers' | 'bytesSent' | 'messagesSent' | 'watchesInterrupted'> {
 	const sum = (name: string): number => nodes.reduce((total, {metrics}) => total + metrics.total(name), 0);
 	return {
-		statesAsked: sum('gateway.states-from-peers'),
+		statesFromPeers: sum('gateway.states-from-peers'),
 		bytesSent: sum('peer.bytes-sent'),
 		messagesSent: sum('peer.messages-sent'),
-		watchesCut: sum('gateway.watches-cut'),
+		watchesInterrupted: sum('gateway.watches-cut'),
 	};
 }
--- a/emulator/fleet/src/caller-outcome.ts
+++ b/emulator/fleet/src/caller-outcome.ts
@@ -1,14 +1,14 @@
 /**
-How a caller's request ended, over all its tries.
+How a caller's request ended, over all its attempts.
 */
 export type CallerOutcome = {
 	readonly className: string;
 	/**
-	Time at which the caller first asked, in milliseconds.
+	Time of the first attempt, in milliseconds.
 	*/
-	readonly askedAt: number;
+	readonly startedAt: number;
 	readonly end: 'inTime' | 'firstLate' | 'pauseLate' | 'refused' | 'failed' | 'abandoned';
-	readonly wasTurnedAway: boolean;
+	readonly wasRefused: boolean;
 	readonly owed: number;
 	readonly earned: number;
 };
--- a/emulator/fleet/src/create-prompt-source.ts
+++ b/emulator/fleet/src/create-prompt-source.ts
@@ -8,37 +8,37 @@
 };
 
 /**
-How the credit of a generation grows with its size, against the mean of its class.
+Credit of an answer relative to its class: a fixed part, a part proportional to its size over the mean size, and the maximum.
 */
 const fixedCredit = 0.3;
-const grownCredit = 0.7;
-const mostCredit = 4;
+const sizeCredit = 0.7;
+const maximumCredit = 4;
 const tokensPerOutput = 10;
 /**
-Subjects earlier in the list are drawn more often: the draw is raised to this power.
+Exponent of the uniform draw of a subject; above 1, the first subjects are drawn more often.
 */
 const skew = 1.5;
 
 /**
- Creates the source of a seeded run's prompts.
+ Creates a source of random prompts.
 
  @example
  const source = createPromptSource(createRandom(7), 3);
- source.draw(kind).facts.promptTokens;
+ source.draw(kind).metadata.promptTokens;
  */
 export function createPromptSource(random: () => number, tokensPerEvent: number): PromptSource {
 	const prompts = new Map<string, Prompt>();
 	const sizes = new Map<string, number>();
 	let count = 0;
 
-	function drawSize({mean, spread, most}: CallerClass['own']): number {
+	function drawSize({mean, spread, maximum}: CallerClass['own']): number {
 		const logMean = Math.log(mean) - ((spread ** 2) / 2);
 		const drawTokens = randomLogNormal.source(random)(logMean, spread);
 		const tokens = Math.round(drawTokens());
-		return Math.max(1, Math.min(most, tokens));
+		return Math.max(1, Math.min(maximum, tokens));
 	}
 
-	function drawShared(kind: CallerClass): Prompt['facts']['parts'] {
+	function drawShared(kind: CallerClass): Prompt['metadata']['parts'] {
 		return kind.shared.map((part, index) => {
 			const id = `${kind.name}-${index}-${Math.floor((random() ** skew) * part.subjects)}`;
 			const tokens = sizes.get(id) ?? drawSize(part);
@@ -56,9 +56,9 @@
 			const promptTokens = shared.reduce((sum, {tokens}) => sum + tokens, own);
 			const outputTokens = events * tokensPerEvent;
 			const meanSize = kind.shared.reduce((sum, {mean}) => sum + mean, kind.own.mean) + (tokensPerOutput * kind.events.mean * tokensPerEvent);
-			const credit = Math.min(mostCredit, fixedCredit + (grownCredit * (promptTokens + (tokensPerOutput * outputTokens)) / meanSize));
+			const credit = Math.min(maximumCredit, fixedCredit + (sizeCredit * (promptTokens + (tokensPerOutput * outputTokens)) / meanSize));
 			const prompt = {
-				facts: {
+				metadata: {
 					requestId, waitMs: undefined, apiKey: undefined, promptTokens, outputTokens, parts: [...shared, {id: requestId, tokens: own}], lastEventId: -1,
 				},
 				events,
@@ -68,7 +68,7 @@
 			prompts.set(requestId, prompt);
 			return prompt;
 		},
-		// An attempt's id is the request's, a blank and its number.
+		// The id of an attempt is the request's id, a space and the number of the attempt.
 		find: id => prompts.get(id.split(' ', 1)[0] ?? ''),
 	};
 }
--- a/emulator/fleet/src/run-emulation.ts
+++ b/emulator/fleet/src/run-emulation.ts
@@ -15,20 +15,20 @@
 import type {EmulationOptions} from './emulation-options.ts';
 import type {EmulationReport} from './emulation-report.ts';
 import {startCaller} from './start-caller.ts';
-import {startNews} from './start-news.ts';
+import {startLoadUpdates} from './start-load-updates.ts';
 import {summarizeOutcomes} from './summarize-outcomes.ts';
 
 const msPerSecond = 1000;
 /**
-Added to the seed for the draws of the nodes, which must not follow those of the load.
+Added to the seed for the random numbers of the nodes, so that they are independent of those of the load.
 */
-const drawSeed = 1_000_003;
+const nodeSeed = 1_000_003;
 /**
-Added to the seed for the draws of the engines.
+Added to the seed for the random numbers of the engines.
 */
 const faultSeed = 2_000_003;
 /**
-Time after the last request in which what is open may end, in milliseconds.
+Time after the last arrival in which open requests may end, in milliseconds.
 */
 const tailMs = 20_000;
 
@@ -37,9 +37,9 @@
 		endpoint.crash();
 	},
 	dark(clock, endpoint, {forMs}) {
-		endpoint.setDark(true);
+		endpoint.setUnresponsive(true);
 		clock.add(forMs, () => {
-			endpoint.setDark(false);
+			endpoint.setUnresponsive(false);
 		});
 	},
 	slow(clock, endpoint, {factor, forMs}) {
@@ -55,13 +55,13 @@
 		});
 	},
 	leave(_clock, endpoint) {
-		endpoint.leave();
+		endpoint.startDraining();
 	},
 };
 
 /**
- Runs a load against emulated engines through the real decisions of the nodes, and sums up what its callers saw. The clock of
- the runtime is paused and its random numbers are seeded meanwhile.
+ Runs a load against emulated engines through the forwarders and selectors of the nodes, and summarizes the callers'
+ outcomes. The clock of the process is paused and `Math.random` is seeded meanwhile.
 
  @example
  runEmulation({load, seed: 7, selection, admission}).worth; // 0.93
@@ -69,16 +69,16 @@
 export function runEmulation({load, seed, selection, admission}: EmulationOptions): EmulationReport {
 	const paused = new Clock();
 	const exit = paused.enter();
-	const {random: unseeded} = Math;
-	Math.random = createRandom(seed + drawSeed);
+	const {random: unseededRandom} = Math;
+	Math.random = createRandom(seed + nodeSeed);
 	try {
 		const random = createRandom(seed);
 		const clock = createEmulationClock(paused);
 		const source = createPromptSource(random, load.engine.tokensPerEvent);
-		const everKept = new Set<string>();
+		const everCached = new Set<string>();
 		const faultRandom = createRandom(seed + faultSeed);
 		const endpoints = new Map(load.slowness.map((slowness, index) => [`e-${index}`, createEmulatedEndpoint({
-			id: `e-${index}`, clock, speed: load.engine, slowness, linkMs: load.linkMs, everKept, random: faultRandom, fullRetryAfterMs: load.fullRetryAfterMs,
+			id: `e-${index}`, clock, profile: load.engine, slowness, linkMs: load.linkMs, everCached, random: faultRandom, fullRetryAfterMs: load.fullRetryAfterMs,
 		})]));
 		let connections = 0;
 		const nodes = Array.from({length: load.nodes}, (_value, index) => createEmulatedNode({
@@ -89,7 +89,7 @@
 			}), endpoints: endpoints.keys().toArray(),
 		}));
 		const outcomes: CallerOutcome[] = [];
-		startNews({
+		startLoadUpdates({
 			clock, nodes, load, untilMs: load.lengthMs + tailMs,
 		});
 		for (const kind of load.classes) {
@@ -116,10 +116,13 @@
 
 		clock.run(load.lengthMs + tailMs);
 		return {
-			...summarizeOutcomes(outcomes), ...countReading(endpoints.values().toArray()), connections, brokenNotices: endpoints.values().reduce((sum, endpoint) => sum + endpoint.countBroken(), 0),
+			...summarizeOutcomes(outcomes),
+			...countPrefill(endpoints.values().toArray()),
+			connections,
+			brokenNotices: endpoints.values().reduce((sum, endpoint) => sum + endpoint.countBrokenNotices(), 0),
 		};
 	} finally {
-		Math.random = unseeded;
+		Math.random = unseededRandom;
 		exit();
 	}
 }
@@ -135,22 +138,22 @@
 	const {clock, kind, random, lengthMs} = arrivals;
 	const now = clock.now();
 	const factor = kind.bursts.find(({atMs, forMs}) => now >= atMs && now < atMs + forMs)?.factor ?? 1;
-	const pauseMs = randomExponential.source(random)(kind.perSecond * factor / msPerSecond)();
-	if (now + pauseMs > lengthMs) {
+	const intervalMs = randomExponential.source(random)(kind.perSecond * factor / msPerSecond)();
+	if (now + intervalMs > lengthMs) {
 		return;
 	}
 
-	clock.add(pauseMs, () => {
+	clock.add(intervalMs, () => {
 		start();
 		startArrivals(arrivals, start);
 	});
 }
 
-function countReading(endpoints: readonly EmulatedEndpoint[]): Pick<EmulationReport, 'readTokens' | 'readAgainTokens' | 'preempted'> {
+function countPrefill(endpoints: readonly EmulatedEndpoint[]): Pick<EmulationReport, 'readTokens' | 'readAgainTokens' | 'preempted'> {
 	const counts = endpoints.map(endpoint => endpoint.counts());
 	return {
-		readTokens: counts.reduce((sum, {read}) => sum + read, 0),
-		readAgainTokens: counts.reduce((sum, {readAgain}) => sum + readAgain, 0),
+		readTokens: counts.reduce((sum, {prefilledTokens}) => sum + prefilledTokens, 0),
+		readAgainTokens: counts.reduce((sum, {recomputedTokens}) => sum + recomputedTokens, 0),
 		preempted: counts.reduce((sum, {preempted}) => sum + preempted, 0),
 	};
 }
