--- a/emulator/fleet/test/emulation.test.ts
+++ b/emulator/fleet/test/emulation.test.ts
@@ -3,9 +3,9 @@
 import {runEmulation} from '@valvesaddle/emulator-fleet';
 
 const selection = {
-	harmWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
+	interferenceWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
 };
-const admission = {lateFactor: 1.3, returnFactor: 1.5, waitFactor: 0.5};
+const admission = {lateFactor: 1.3, retryAfterFactor: 1.5, waitFactor: 0.5};
 const load = createDraftsBesideQueries();
 
 test('the same load, settings and seed give the same report, another seed another one', t => {
--- a/emulator/fleet/test/large-fleet.test.ts
+++ b/emulator/fleet/test/large-fleet.test.ts
@@ -7,9 +7,9 @@
 import {runEmulation, type EmulationLoad} from '@valvesaddle/emulator-fleet';
 
 const selection = {
-	harmWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
+	interferenceWeight: 1, riskWeight: 1, reuseMs: 10_000, rereadMsPerToken: 0.3, prefillTokensPerMs: 50,
 };
-const admission = {lateFactor: 1.3, returnFactor: 1.5, waitFactor: 0.5};
+const admission = {lateFactor: 1.3, retryAfterFactor: 1.5, waitFactor: 0.5};
 /**
 Shares of the large fleet's requests and subjects that are run here; each subject recurs about as often.
 */
