--- a/config/follower/src/config-follower-options.ts
+++ b/config/follower/src/config-follower-options.ts
@@ -19,7 +19,7 @@
 	Asks some peers for their record, each with an answer of its own that need not come; used while the key-value service does
 	not answer.
 	*/
-	readonly askPeers: () => ReadonlyArray<Promise<unknown>>;
+	readonly readPeerRecords: () => ReadonlyArray<Promise<unknown>>;
 	readonly metrics: Metrics;
 	readonly logger: Logger;
 };
--- a/config/follower/src/config-follower.ts
+++ b/config/follower/src/config-follower.ts
@@ -29,6 +29,6 @@
 	/**
 	Whether the key-value service has said whether there is a configuration at all.
 	*/
-	readonly isSettled: () => boolean;
+	readonly isInitialized: () => boolean;
 	readonly close: () => void;
 };
--- a/config/follower/src/create-config-follower.ts
+++ b/config/follower/src/create-config-follower.ts
@@ -88,7 +88,7 @@
 	}
 
 	async function askPeers(): Promise<void> {
-		const answers = options.askPeers().map(async answer => {
+		const answers = options.readPeerRecords().map(async answer => {
 			offerText(await answer, 'peer');
 		});
 		// A peer on a living link may never answer: what comes later is still taken in, but nothing waits for it.
@@ -127,7 +127,7 @@
 		revision: () => current?.revision ?? 0,
 		offer,
 		offerText,
-		isSettled: () => isSettled,
+		isInitialized: () => isSettled,
 		close() {
 			stop.abort();
 		},
--- a/config/follower/test/config-follower.test.ts
+++ b/config/follower/test/config-follower.test.ts
@@ -27,7 +27,7 @@
 		},
 		watchMs: 1000,
 		retryMs: 1,
-		askPeers,
+		readPeerRecords: askPeers,
 		metrics: createMetrics(),
 		logger: createLogger({node: 'test', level: 'silent'}),
 	});
@@ -68,14 +68,14 @@
 	follower.start();
 	await follower.events.once('changed');
 	t.ok(follower.revision() >= 2);
-	t.equal(follower.isSettled(), false);
+	t.equal(follower.isInitialized(), false);
 });
 
 test('a service that says there is no configuration settles the matter', async t => {
 	const follower = createFollower(answerWatches([{record: undefined, index: 1}]));
 	t.teardown(follower.close);
 	follower.start();
-	while (!follower.isSettled()) {
+	while (!follower.isInitialized()) {
 		// eslint-disable-next-line no-await-in-loop -- waits for the first answer
 		await new Promise(resolve => {
 			setImmediate(resolve);
--- a/config/follower/test/mute-peers.test.ts
+++ b/config/follower/test/unresponsive-peers.test.ts
@@ -29,7 +29,7 @@
 		},
 		watchMs: 1000,
 		retryMs: 1,
-		askPeers,
+		readPeerRecords: askPeers,
 		metrics: createMetrics(),
 		logger: createLogger({node: 'test', level: 'silent'}),
 	});
--- a/config/schema/src/find-reference-faults.ts
+++ b/config/schema/src/find-reference-errors.ts
@@ -9,7 +9,7 @@
  @example
  findReferenceFaults(configuration); // ['endpoints: "e1" names the unknown pool "drafting"']
  */
-export function findReferenceFaults(configuration: Configuration): readonly string[] {
+export function findReferenceErrors(configuration: Configuration): readonly string[] {
 	const {classes, accounts, pools, endpoints, bindings} = configuration;
 	const classNames = new Set(classes.map(({name}) => name));
 	const accountNames = new Set(accounts.map(({name}) => name));
--- a/config/schema/src/validate-configuration.ts
+++ b/config/schema/src/validate-configuration.ts
@@ -2,7 +2,7 @@
 import {ValvesaddleError} from '@valvesaddle/error';
 import type {Configuration} from '@valvesaddle/types';
 import {configurationSchema} from './configuration-schema.ts';
-import {findReferenceFaults} from './find-reference-faults.ts';
+import {findReferenceErrors} from './find-reference-errors.ts';
 
 const mostFaultsNamed = 20;
 
@@ -18,7 +18,7 @@
 		return toFaultError(parsed.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`));
 	}
 
-	const faults = findReferenceFaults(parsed.data);
+	const faults = findReferenceErrors(parsed.data);
 	return faults.length > 0 ? toFaultError(faults) : ok(parsed.data);
 }
 
--- a/node/router/src/create-health.ts
+++ b/node/router/src/create-health.ts
@@ -39,7 +39,7 @@
 			return 'isolated';
 		}
 
-		return follower.isSettled() || follower.revision() > 0 ? 'ready' : 'starting';
+		return follower.isInitialized() || follower.revision() > 0 ? 'ready' : 'starting';
 	}
 
 	function recordChange(): void {
--- a/node/router/src/create-router.ts
+++ b/node/router/src/create-router.ts
@@ -69,7 +69,7 @@
 		store,
 		watchMs: settings.platform.kv_watch_ms,
 		retryMs: settings.platform.kv_timeout_ms,
-		askPeers: createPeerAsker({
+		readPeerRecords: createPeerAsker({
 			network, listPeers: () => [...network.connected(), ...membership.others()], revision: () => follower.revision(),
 		}),
 		metrics,
--- a/node/router/test/mute-peers.test.ts
+++ b/node/router/test/mute-peers.test.ts
@@ -30,7 +30,7 @@
 		},
 		watchMs: 100,
 		retryMs: 5,
-		askPeers: () => [],
+		readPeerRecords: () => [],
 		metrics: createMetrics(),
 		logger: createLogger({node: 'n1', level: 'silent'}),
 	});
