--- a/config/follower/src/config-events.ts
+++ b/config/follower/src/config-events.ts
@@ -1,11 +1,11 @@
 import type {ConfigurationRecord} from '@valvesaddle/types';
 
 /**
-What the follower tells.
+Events of a configuration follower.
 */
 export type ConfigEvents = {
 	/**
-	A newer configuration is in force on this node.
+	A newer configuration was applied on this node.
 	*/
 	readonly changed: ConfigurationRecord;
 };
--- a/config/follower/src/config-follower-options.ts
+++ b/config/follower/src/config-follower-options.ts
@@ -8,16 +8,15 @@
 export type ConfigFollowerOptions = {
 	readonly store: ConfigStore;
 	/**
-	Longest time of one watch, in milliseconds.
+	Maximum duration of one watch, in milliseconds.
 	*/
 	readonly watchMs: number;
 	/**
-	Pause before the next try when the key-value service fails, in milliseconds.
+	Delay before the next attempt when the key-value service fails, in milliseconds.
 	*/
 	readonly retryMs: number;
 	/**
-	Asks some peers for their record, each with an answer of its own that need not come; used while the key-value service does
-	not answer.
+	Requests the record of some peers while the key-value service does not answer. Each promise settles on its own, or never.
 	*/
 	readonly readPeerRecords: () => ReadonlyArray<Promise<unknown>>;
 	readonly metrics: Metrics;
--- a/config/follower/src/create-config-follower.ts
+++ b/config/follower/src/create-config-follower.ts
@@ -7,18 +7,18 @@
 import type {ConfigFollowerOptions} from './config-follower-options.ts';
 
 /**
-Watches end at different times on different nodes by this part of their length.
+Share of the watch duration and of the retry delay that is random, so that nodes do not call at the same time.
 */
-const jitterPart = 0.2;
+const jitterShare = 0.2;
 /**
-Longest wait for the answers of peers before the key-value service is tried again, in milliseconds: many round trips
-between data centres, and the time of a record behind other messages.
+Maximum wait for the answers of peers before the next watch, in milliseconds. Leaves time for a record queued behind
+other messages on a link between data centres.
 */
-const answerMs = 1000;
+const peerTimeoutMs = 1000;
 
 /**
- Creates the follower of the configuration: one long watch on the key-value service, and peers while that one does not
- answer.
+ Creates a configuration follower. It long-polls the key-value service, and reads from peers while the service is
+ unavailable.
 
  @example
  follower.events.on('changed', ({data}) => host.configure());
@@ -29,10 +29,10 @@
 	const stop = new AbortController();
 	let current: ConfigurationRecord | undefined;
 	/**
-	Written out when first asked for.
+	Serialized form of `current`, created on first use.
 	*/
-	let written: string | undefined;
-	let isSettled = false;
+	let currentText: string | undefined;
+	let isInitialized = false;
 	let isReachable = true;
 
 	function offer(record: ConfigurationRecord, source: string): void {
@@ -41,7 +41,7 @@
 		}
 
 		current = record;
-		written = undefined;
+		currentText = undefined;
 		options.metrics.gauge('configuration.revision', record.revision);
 		options.metrics.increment('configuration.changes', 1, {source});
 		options.logger.info({
@@ -61,7 +61,7 @@
 		}
 	}
 
-	function recordReachable(isReachableNow: boolean, reason: string): void {
+	function updateReachable(isReachableNow: boolean, reason: string): void {
 		if (isReachableNow === isReachable) {
 			return;
 		}
@@ -71,15 +71,15 @@
 	}
 
 	async function runWatch(afterIndex: number): Promise<number | undefined> {
-		const waitMs = Math.round(options.watchMs * (1 - (Math.random() * jitterPart)));
+		const waitMs = Math.round(options.watchMs * (1 - (Math.random() * jitterShare)));
 		const result = await options.store.watch({afterIndex, waitMs, signal: stop.signal});
 		if (result.isErr()) {
-			recordReachable(false, result.error.message);
+			updateReachable(false, result.error.message);
 			return undefined;
 		}
 
-		recordReachable(true, 'answered');
-		isSettled = true;
+		updateReachable(true, 'answered');
+		isInitialized = true;
 		if (result.value.record !== undefined) {
 			offer(result.value.record, 'key-value service');
 		}
@@ -87,12 +87,12 @@
 		return result.value.index;
 	}
 
-	async function askPeers(): Promise<void> {
+	async function readPeers(): Promise<void> {
 		const answers = options.readPeerRecords().map(async answer => {
 			offerText(await answer, 'peer');
 		});
-		// A peer on a living link may never answer: what comes later is still taken in, but nothing waits for it.
-		await Promise.race([Promise.all(answers), delay(answerMs, undefined, {ref: false})]);
+		// A peer on a live link may never answer: late answers are still applied, but the watch does not wait for them.
+		await Promise.race([Promise.all(answers), delay(peerTimeoutMs, undefined, {ref: false})]);
 	}
 
 	async function runWatches(): Promise<void> {
@@ -100,16 +100,16 @@
 		while (!stop.signal.aborted) {
 			// eslint-disable-next-line no-await-in-loop -- one watch at a time
 			const next = await runWatch(index);
-			// An index that goes back means that the service began anew: watch from the start.
+			// An index that goes back means that the service was reset: watch from the start.
 			index = next === undefined || next < index ? 0 : next;
 			if (next !== undefined || stop.signal.aborted) {
 				continue;
 			}
 
-			// eslint-disable-next-line no-await-in-loop -- the next try follows after the pause
-			await askPeers();
-			// eslint-disable-next-line no-await-in-loop -- the next try follows after the pause
-			await delay(options.retryMs * (1 + (Math.random() * jitterPart)), undefined, {ref: false});
+			// eslint-disable-next-line no-await-in-loop -- attempts are sequential
+			await readPeers();
+			// eslint-disable-next-line no-await-in-loop -- attempts are sequential
+			await delay(options.retryMs * (1 + (Math.random() * jitterShare)), undefined, {ref: false});
 		}
 	}
 
@@ -120,14 +120,14 @@
 		},
 		record: () => current,
 		text() {
-			written ??= current && formatRecord(current);
-			return written;
+			currentText ??= current && formatRecord(current);
+			return currentText;
 		},
 		configuration: () => current?.configuration ?? emptyConfiguration,
 		revision: () => current?.revision ?? 0,
 		offer,
 		offerText,
-		isInitialized: () => isSettled,
+		isInitialized: () => isInitialized,
 		close() {
 			stop.abort();
 		},
--- a/config/follower/test/config-follower.test.ts
+++ b/config/follower/test/config-follower.test.ts
@@ -8,11 +8,11 @@
 import type {ConfigurationRecord} from '@valvesaddle/types';
 import {createConfigFollower, type ConfigFollower} from '@valvesaddle/config-follower';
 
-const ignore = (): void => {
-	// Never settled.
+const waitForever = (): void => {
+	// Leaves the promise pending.
 };
 
-const down = new ValvesaddleError('ERR_VALVESADDLE_KV_UNAVAILABLE', 'down');
+const unavailable = new ValvesaddleError('ERR_VALVESADDLE_KV_UNAVAILABLE', 'unavailable');
 
 function createRecord(revision: number): ConfigurationRecord {
 	return {
@@ -20,31 +20,31 @@
 	};
 }
 
-function createFollower(watch: ConfigStore['watch'], askPeers: () => ReadonlyArray<Promise<unknown>> = () => []): ConfigFollower {
+function createFollower(watch: ConfigStore['watch'], readPeerRecords: () => ReadonlyArray<Promise<unknown>> = () => []): ConfigFollower {
 	return createConfigFollower({
 		store: {
-			watch, read: () => errAsync(down), readRevision: () => errAsync(down), apply: () => errAsync(down),
+			watch, read: () => errAsync(unavailable), readRevision: () => errAsync(unavailable), apply: () => errAsync(unavailable),
 		},
 		watchMs: 1000,
 		retryMs: 1,
-		readPeerRecords: askPeers,
+		readPeerRecords,
 		metrics: createMetrics(),
 		logger: createLogger({node: 'test', level: 'silent'}),
 	});
 }
 
 /**
-Answers the first watches one by one, then leaves them waiting.
+Answers the first watches with the results in order; later watches stay pending.
 */
 function answerWatches(results: readonly ConfigWatchResult[]): ConfigStore['watch'] {
-	const left = [...results];
+	const remaining = [...results];
 	return () => {
-		const next = left.shift();
-		return new ResultAsync(next === undefined ? new Promise<never>(ignore) : Promise.resolve(ok(next)));
+		const next = remaining.shift();
+		return new ResultAsync(next === undefined ? new Promise<never>(waitForever) : Promise.resolve(ok(next)));
 	};
 }
 
-test('an older record is never taken over, from whatever source', async t => {
+test('an older record is never applied, whatever its source', async t => {
 	const follower = createFollower(answerWatches([{record: createRecord(5), index: 9}, {record: createRecord(4), index: 10}]));
 	t.teardown(follower.close);
 	const revisions: number[] = [];
@@ -62,8 +62,8 @@
 	t.same(revisions.toSorted((a, b) => a - b), revisions);
 });
 
-test('while the service is down the peers are asked, and a newer record of theirs is taken over', async t => {
-	const follower = createFollower(() => errAsync(down), () => [undefined, 'garbage', formatRecord(createRecord(2)), formatRecord(createRecord(7))].map(async text => text));
+test('while the service is unavailable a newer record is read from peers', async t => {
+	const follower = createFollower(() => errAsync(unavailable), () => [undefined, 'garbage', formatRecord(createRecord(2)), formatRecord(createRecord(7))].map(async text => text));
 	t.teardown(follower.close);
 	follower.start();
 	await follower.events.once('changed');
@@ -71,7 +71,7 @@
 	t.equal(follower.isInitialized(), false);
 });
 
-test('a service that says there is no configuration settles the matter', async t => {
+test('the follower is initialized when the service answers without a configuration', async t => {
 	const follower = createFollower(answerWatches([{record: undefined, index: 1}]));
 	t.teardown(follower.close);
 	follower.start();
--- a/config/follower/test/unresponsive-peers.test.ts
+++ b/config/follower/test/unresponsive-peers.test.ts
@@ -1,7 +1,6 @@
 /*
-While the key-value service fails, a node asks some peers for their configuration. One peer that never answered on a
-living link held up the answers of all others, and kept the node from watching the key-value service ever again: it
-stayed on its old configuration after both were well.
+A peer that never answers on a live link must not block the answers of other peers, nor the next watch of the
+key-value service.
 */
 import {setTimeout as delay} from 'node:timers/promises';
 import {errAsync, okAsync} from 'neverthrow';
@@ -14,7 +13,7 @@
 import type {ConfigurationRecord} from '@valvesaddle/types';
 import {createConfigFollower, type ConfigFollower} from '@valvesaddle/config-follower';
 
-const down = new ValvesaddleError('ERR_VALVESADDLE_KV_UNAVAILABLE', 'down');
+const unavailable = new ValvesaddleError('ERR_VALVESADDLE_KV_UNAVAILABLE', 'unavailable');
 
 function createRecord(revision: number): ConfigurationRecord {
 	return {
@@ -22,14 +21,14 @@
 	};
 }
 
-function createFollower(watch: ConfigStore['watch'], askPeers: () => ReadonlyArray<Promise<unknown>>): ConfigFollower {
+function createFollower(watch: ConfigStore['watch'], readPeerRecords: () => ReadonlyArray<Promise<unknown>>): ConfigFollower {
 	return createConfigFollower({
 		store: {
-			watch, read: () => errAsync(down), readRevision: () => errAsync(down), apply: () => errAsync(down),
+			watch, read: () => errAsync(unavailable), readRevision: () => errAsync(unavailable), apply: () => errAsync(unavailable),
 		},
 		watchMs: 1000,
 		retryMs: 1,
-		readPeerRecords: askPeers,
+		readPeerRecords,
 		metrics: createMetrics(),
 		logger: createLogger({node: 'test', level: 'silent'}),
 	});
@@ -37,31 +36,31 @@
 
 async function waitForRevision(follower: ConfigFollower, revision: number): Promise<void> {
 	for (let elapsedMs = 0; elapsedMs < 5000 && follower.revision() < revision; elapsedMs += 10) {
-		// eslint-disable-next-line no-await-in-loop -- looks again after the pause
+		// eslint-disable-next-line no-await-in-loop -- polls
 		await delay(10);
 	}
 }
 
-test('a peer that never answers keeps back the answer of no other', async t => {
-	const mute = Promise.withResolvers<string>();
-	const follower = createFollower(() => errAsync(down), () => [mute.promise, Promise.resolve(formatRecord(createRecord(7)))]);
+test('a peer that never answers does not delay the answers of others', async t => {
+	const unresponsive = Promise.withResolvers<string>();
+	const follower = createFollower(() => errAsync(unavailable), () => [unresponsive.promise, Promise.resolve(formatRecord(createRecord(7)))]);
 	t.teardown(follower.close);
 	follower.start();
 	await waitForRevision(follower, 7);
 	t.equal(follower.revision(), 7);
-	mute.resolve(formatRecord(createRecord(9)));
+	unresponsive.resolve(formatRecord(createRecord(9)));
 	await waitForRevision(follower, 9);
-	t.equal(follower.revision(), 9, 'what comes late is taken in');
+	t.equal(follower.revision(), 9, 'a late answer is applied');
 });
 
-test('a peer that never answers keeps no node from watching the key-value service again', async t => {
-	let isDown = true;
-	const mute = Promise.withResolvers<string>();
+test('a peer that never answers does not prevent the next watch of the key-value service', async t => {
+	let isUnavailable = true;
+	const unresponsive = Promise.withResolvers<string>();
 	const follower = createFollower(
-		({afterIndex}) => isDown || afterIndex > 0 ? errAsync(down) : okAsync({record: createRecord(8), index: 1}),
+		({afterIndex}) => isUnavailable || afterIndex > 0 ? errAsync(unavailable) : okAsync({record: createRecord(8), index: 1}),
 		() => {
-			isDown = false;
-			return [mute.promise];
+			isUnavailable = false;
+			return [unresponsive.promise];
 		},
 	);
 	t.teardown(follower.close);
