--- a/config/schema/src/compare-configurations.ts
+++ b/config/schema/src/compare-configurations.ts
@@ -1,7 +1,7 @@
 import type {Configuration} from '@valvesaddle/types';
 
 /**
-One line of a difference: `+` added, `-` removed, `~` replaced.
+One line of a diff: `+` added, `-` removed, `~` replaced.
 */
 type Line = string;
 
--- a/config/schema/src/compressed-prefix.ts
+++ b/config/schema/src/compressed-prefix.ts
@@ -1,4 +1,4 @@
 /**
-Begins every compressed record.
+Prefix of a compressed record.
 */
 export const compressedPrefix = 'gzip:';
--- a/config/schema/src/configuration-schema.ts
+++ b/config/schema/src/configuration-schema.ts
@@ -3,7 +3,7 @@
 const name = z.string().regex(/^[\da-z][\d\-._a-z]{0,62}$/v, 'expected 1 to 63 of a-z, 0-9, ".", "_", "-"');
 const milliseconds = z.int().min(1).max(3_600_000);
 const share = z.number().positive().max(1000);
-const largestFloor = 0.3;
+const maximumFloor = 0.3;
 
 const requestClass = z.strictObject({
 	name,
@@ -12,7 +12,7 @@
 	firstTokenTargetMs: milliseconds,
 	maximumWaitMs: milliseconds,
 	weight: share.default(1),
-	floor: z.number().min(0).max(largestFloor).default(0),
+	floor: z.number().min(0).max(maximumFloor).default(0),
 });
 
 const clientAccount = z.strictObject({
@@ -48,7 +48,7 @@
 });
 
 /**
-Form of a configuration; the references between its parts are checked by `validateConfiguration`.
+Schema of a configuration. References between its parts are checked by `validateConfiguration`.
 */
 export const configurationSchema = z.strictObject({
 	classes: z.array(requestClass).max(64).readonly().default([]),
--- a/config/schema/src/find-reference-errors.ts
+++ b/config/schema/src/find-reference-errors.ts
@@ -1,13 +1,13 @@
 import type {Configuration} from '@valvesaddle/types';
 
-const largestFloorSum = 0.3;
+const maximumFloorSum = 0.3;
 
 /**
- Lists what is wrong between the parts of a configuration: repeated names, unknown references, floors that add up to
- too much.
+ Lists errors between the parts of a configuration: duplicate names, unknown references, and floors whose sum exceeds
+ the maximum.
 
  @example
- findReferenceFaults(configuration); // ['endpoints: "e1" names the unknown pool "drafting"']
+ findReferenceErrors(configuration); // ['endpoints: "e1" refers to the unknown pool "drafting"']
  */
 export function findReferenceErrors(configuration: Configuration): readonly string[] {
 	const {classes, accounts, pools, endpoints, bindings} = configuration;
@@ -15,13 +15,13 @@
 	const accountNames = new Set(accounts.map(({name}) => name));
 	const poolNames = new Set(pools.map(({name}) => name));
 	return [
-		...findRepeated('classes', classes.map(({name}) => name)),
-		...findRepeated('accounts', accounts.map(({name}) => name)),
-		...findRepeated('keyHashes', accounts.flatMap(({keyHashes}) => keyHashes)),
-		...findRepeated('pools', pools.map(({name}) => name)),
-		...findRepeated('pools with model and region', pools.map(({model, region}) => `${model}@${region}`)),
-		...findRepeated('endpoints', endpoints.map(({id}) => id)),
-		...findRepeated('bindings', bindings.map(({account, pool}) => `${account}:${pool}`)),
+		...findDuplicates('classes', classes.map(({name}) => name)),
+		...findDuplicates('accounts', accounts.map(({name}) => name)),
+		...findDuplicates('keyHashes', accounts.flatMap(({keyHashes}) => keyHashes)),
+		...findDuplicates('pools', pools.map(({name}) => name)),
+		...findDuplicates('pools with model and region', pools.map(({model, region}) => `${model}@${region}`)),
+		...findDuplicates('endpoints', endpoints.map(({id}) => id)),
+		...findDuplicates('bindings', bindings.map(({account, pool}) => `${account}:${pool}`)),
 		...findUnknown('endpoints', 'pool', poolNames, endpoints.map(({id, pool}) => ({name: id, reference: pool}))),
 		...findUnknown('bindings', 'account', accountNames, bindings.map(({account}) => ({name: account, reference: account}))),
 		...findUnknown('bindings', 'pool', poolNames, bindings.map(({account, pool}) => ({name: account, reference: pool}))),
@@ -35,20 +35,20 @@
 	readonly reference: string;
 };
 
-function findRepeated(part: string, names: readonly string[]): readonly string[] {
+function findDuplicates(part: string, names: readonly string[]): readonly string[] {
 	const seen = new Set<string>();
-	const repeated = new Set<string>();
+	const duplicates = new Set<string>();
 	for (const name of names) {
-		(seen.has(name) ? repeated : seen).add(name);
+		(seen.has(name) ? duplicates : seen).add(name);
 	}
 
-	return [...repeated].map(name => `${part}: "${name}" stands twice`);
+	return [...duplicates].map(name => `${part}: "${name}" is defined twice`);
 }
 
 function findUnknown(part: string, kind: string, known: ReadonlySet<string>, references: readonly Reference[]): readonly string[] {
 	return references
 		.filter(({reference}) => !known.has(reference))
-		.map(({name, reference}) => `${part}: "${name}" names the unknown ${kind} "${reference}"`);
+		.map(({name, reference}) => `${part}: "${name}" refers to the unknown ${kind} "${reference}"`);
 }
 
 function checkFloors({classes}: Configuration): readonly string[] {
@@ -57,5 +57,5 @@
 		sum += floor;
 	}
 
-	return sum > largestFloorSum ? [`classes: floors add up to ${sum.toFixed(2)}, more than ${largestFloorSum}`] : [];
+	return sum > maximumFloorSum ? [`classes: floors add up to ${sum.toFixed(2)}, more than ${maximumFloorSum}`] : [];
 }
--- a/config/schema/src/format-record.ts
+++ b/config/schema/src/format-record.ts
@@ -3,8 +3,8 @@
 import {compressedPrefix} from './compressed-prefix.ts';
 
 /**
- Writes a configuration record as it is stored and sent to peers: compressed, since names repeat and a value of the
- key-value service holds a megabyte at most.
+ Formats a configuration record for storage and for peers. It is compressed because a value of the key-value service
+ holds at most one megabyte.
 
  @example
  formatRecord(record).startsWith('gzip:'); // true
--- a/config/schema/src/parse-record.ts
+++ b/config/schema/src/parse-record.ts
@@ -7,29 +7,29 @@
 import {recordSchema} from './record-schema.ts';
 
 /**
-Bounds what a record may readCompressed to.
+Limit on the decompressed size of a record.
 */
-const largestRecordBytes = 64 * 1024 * 1024;
+const maximumRecordBytes = 64 * 1024 * 1024;
 
 /**
- Reads a stored configuration record, compressed or plain.
+ Parses a stored configuration record, compressed or plain.
 
  @example
- parseRecord('{"revision":1}').isErr(); // true: parts are missing
+ parseRecord('{"revision":1}').isErr(); // true: fields are missing
  */
 export function parseRecord(text: string): Result<ConfigurationRecord, ValvesaddleError> {
 	let json: unknown;
 	try {
-		json = JSON.parse(text.startsWith(compressedPrefix) ? readCompressed(text) : text);
+		json = JSON.parse(text.startsWith(compressedPrefix) ? decodeCompressed(text) : text);
 	} catch (error) {
 		return err(new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', 'the stored configuration is not JSON', {cause: error}));
 	}
 
 	const parsed = recordSchema.safeParse(json);
-	return parsed.success ? ok(parsed.data) : err(new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', `the stored configuration does not have the expected form: ${parsed.error.message}`));
+	return parsed.success ? ok(parsed.data) : err(new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', `the stored configuration does not match its schema: ${parsed.error.message}`));
 }
 
-function readCompressed(text: string): string {
+function decodeCompressed(text: string): string {
 	const bytes = Buffer.from(text.slice(compressedPrefix.length), 'base64');
-	return gunzipSync(bytes, {maxOutputLength: largestRecordBytes}).toString();
+	return gunzipSync(bytes, {maxOutputLength: maximumRecordBytes}).toString();
 }
--- a/config/schema/src/record-schema.ts
+++ b/config/schema/src/record-schema.ts
@@ -2,7 +2,7 @@
 import {configurationSchema} from './configuration-schema.ts';
 
 /**
-Form of a stored configuration record.
+Schema of a stored configuration record.
 */
 export const recordSchema = z.object({
 	revision: z.int().min(1),
--- a/config/schema/src/validate-configuration.ts
+++ b/config/schema/src/validate-configuration.ts
@@ -4,10 +4,10 @@
 import {configurationSchema} from './configuration-schema.ts';
 import {findReferenceErrors} from './find-reference-errors.ts';
 
-const mostFaultsNamed = 20;
+const maximumListedErrors = 20;
 
 /**
- Checks a configuration whole and fills in defaults. The error names every fault with its place.
+ Validates a configuration and fills in defaults. The error lists every invalid field with its path.
 
  @example
  validateConfiguration({classes: [], accounts: [], pools: [], endpoints: [], bindings: []}).isOk(); // true
@@ -15,16 +15,16 @@
 export function validateConfiguration(input: unknown): Result<Configuration, ValvesaddleError> {
 	const parsed = configurationSchema.safeParse(input);
 	if (!parsed.success) {
-		return toFaultError(parsed.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`));
+		return toInvalidError(parsed.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`));
 	}
 
-	const faults = findReferenceErrors(parsed.data);
-	return faults.length > 0 ? toFaultError(faults) : ok(parsed.data);
+	const errors = findReferenceErrors(parsed.data);
+	return errors.length > 0 ? toInvalidError(errors) : ok(parsed.data);
 }
 
-function toFaultError(faults: readonly string[]): Result<Configuration, ValvesaddleError> {
-	const named = faults.slice(0, mostFaultsNamed);
-	const rest = faults.length - named.length;
-	const lines = rest > 0 ? [...named, `and ${rest} more`] : named;
+function toInvalidError(errors: readonly string[]): Result<Configuration, ValvesaddleError> {
+	const listed = errors.slice(0, maximumListedErrors);
+	const rest = errors.length - listed.length;
+	const lines = rest > 0 ? [...listed, `and ${rest} more`] : listed;
 	return err(new ValvesaddleError('ERR_VALVESADDLE_CONFIGURATION_INVALID', lines.join('\n')));
 }
--- a/config/schema/test/configuration.test.ts
+++ b/config/schema/test/configuration.test.ts
@@ -26,25 +26,25 @@
 	bindings: [{account: 'sawmill', pool: 'drafting', classes: ['gate']}],
 };
 
-test('a sound configuration is accepted as it is', t => {
+test('a valid configuration is accepted unchanged', t => {
 	t.same(validateConfiguration(configuration)._unsafeUnwrap(), configuration);
 	t.same(validateConfiguration({})._unsafeUnwrap(), emptyConfiguration);
 	t.end();
 });
 
-const faults: ReadonlyArray<readonly [string, unknown, string]> = [
-	['a class that stands twice', {...configuration, classes: [requestClass, requestClass]}, 'classes: "gate" stands twice'],
-	['an endpoint of an unknown pool', {...configuration, pools: []}, 'endpoints: "e1" names the unknown pool "drafting"'],
-	['a binding with an unknown class', {...configuration, classes: []}, 'bindings: "sawmill" names the unknown class "gate"'],
-	['an API key of two accounts', {...configuration, accounts: [...configuration.accounts, {...configuration.accounts[0], name: 'depot'}]}, 'keyHashes:'],
-	['floors that leave too little', {...configuration, classes: ['a', 'b'].map(name => ({...requestClass, name, floor: 0.2}))}, 'floors add up to 0.40'],
-	['a key in the clear', {...configuration, accounts: [{name: 'sawmill', keyHashes: ['secret']}]}, 'accounts.0.keyHashes.0: expected a SHA-256'],
-	['an address that is none', {...configuration, endpoints: [{...configuration.endpoints[0], url: 'file:///etc/passwd'}]}, 'endpoints.0.url'],
+const invalidCases: ReadonlyArray<readonly [string, unknown, string]> = [
+	['a duplicate class', {...configuration, classes: [requestClass, requestClass]}, 'classes: "gate" is defined twice'],
+	['an endpoint of an unknown pool', {...configuration, pools: []}, 'endpoints: "e1" refers to the unknown pool "drafting"'],
+	['a binding with an unknown class', {...configuration, classes: []}, 'bindings: "sawmill" refers to the unknown class "gate"'],
+	['an API key shared by two accounts', {...configuration, accounts: [...configuration.accounts, {...configuration.accounts[0], name: 'depot'}]}, 'keyHashes:'],
+	['floors above the maximum sum', {...configuration, classes: ['a', 'b'].map(name => ({...requestClass, name, floor: 0.2}))}, 'floors add up to 0.40'],
+	['an unhashed API key', {...configuration, accounts: [{name: 'sawmill', keyHashes: ['secret']}]}, 'accounts.0.keyHashes.0: expected a SHA-256'],
+	['an endpoint URL that is not HTTP', {...configuration, endpoints: [{...configuration.endpoints[0], url: 'file:///etc/passwd'}]}, 'endpoints.0.url'],
 	['an unknown field', {...configuration, clases: []}, 'clases'],
 ];
 
-for (const [name, input, words] of faults) {
-	test(`${name} is rejected and named`, t => {
+for (const [name, input, words] of invalidCases) {
+	test(`${name} is rejected with its location`, t => {
 		const result = validateConfiguration(input);
 		t.equal(result.isErr() && result.error.code, 'ERR_VALVESADDLE_CONFIGURATION_INVALID');
 		t.match(result.isErr() && result.error.message, words);
@@ -64,7 +64,7 @@
 	t.end();
 });
 
-test('a record comes back as it was stored, compressed or plain', t => {
+test('a record is parsed as it was stored, compressed or plain', t => {
 	const record = {
 		revision: 3, changeId: 'c', author: 'iva', acceptedAt: 1, recentChanges: [{changeId: 'c', revision: 3}], configuration,
 	};
@@ -74,9 +74,9 @@
 });
 
 const brokenRecords: ReadonlyArray<readonly [string, string]> = [
-	['nothing', 'gzip:'],
-	['no base64', 'gzip:%%%'],
-	['half of one', formatRecord({
+	['no data', 'gzip:'],
+	['invalid base64', 'gzip:%%%'],
+	['truncated data', formatRecord({
 		revision: 3, changeId: 'c', author: 'iva', acceptedAt: 1, recentChanges: [], configuration,
 	}).slice(0, 60)],
 ];
@@ -89,7 +89,7 @@
 	});
 }
 
-test('a difference names what is added, removed and replaced', t => {
+test('a comparison lists added, removed and replaced items', t => {
 	const after: Configuration = {
 		...configuration,
 		classes: [{...requestClass, weight: 2}],
