--- a/config/settings/src/check-settings.ts
+++ b/config/settings/src/check-settings.ts
@@ -5,10 +5,10 @@
 import {validateTable} from './validate-table.ts';
 
 /**
- Checks settings whole and fills in defaults.
+ Validates settings and fills in defaults.
 
- @param input - Settings as read from TOML.
- @param text - The file that they come from, to name lines; empty when there is none.
+ @param input - Settings parsed from TOML.
+ @param text - Source text, used to report line numbers; empty if there is none.
  @example
  checkSettings({node: {id: 'a1'}}, '').isErr(); // true
  */
--- a/config/settings/src/find-key-line.ts
+++ b/config/settings/src/find-key-line.ts
@@ -1,6 +1,6 @@
 /**
- Finds the line of a key in a TOML text whose tables are written as `[table]` or `[table.part]`; `undefined` when it is not
- there.
+ Finds the line of a key in a TOML text whose tables are written as `[table]` or `[table.part]`; `undefined` if it is
+ missing.
 
  @example
  findKeyLine('[node]\nid = "A 1"', ['node', 'id']); // 2
--- a/config/settings/src/gateway-settings-schema.ts
+++ b/config/settings/src/gateway-settings-schema.ts
@@ -1,14 +1,14 @@
 import * as z from 'zod';
 
-const address = z.string().regex(/^\d{1,3}(?:\.\d{1,3}){3}:\d{1,5}$/v, 'expected an IP number and a port, such as "10.0.0.5:7100"');
+const address = z.string().regex(/^\d{1,3}(?:\.\d{1,3}){3}:\d{1,5}$/v, 'expected an IP address and a port, such as "10.0.0.5:7100"');
 /**
-The platform states some bounds in seconds, with fractions.
+Seconds, possibly fractional.
 */
 const seconds = z.number().positive().max(86_400);
 const milliseconds = z.int().min(1).max(86_400_000);
 
 /**
-Form of a gateway node's settings file. Times are in milliseconds, those named `_s` in seconds.
+Schema of a gateway node's settings file. Keys ending in `_ms` are in milliseconds, those in `_s` in seconds.
 */
 export const gatewaySettingsSchema = z.strictObject({
 	node: z.strictObject({
@@ -16,17 +16,17 @@
 		data_centre: z.string(),
 		region: z.string(),
 		/**
-		Share of one core that the node may use, and how many usual cores that one is worth.
+		Share of one core that the node may use; `core_speed` is the speed of that core relative to a reference core.
 		*/
 		cpu_share: z.number().positive().default(1),
 		core_speed: z.number().positive().default(1),
 		/**
-		Megabits a second of the VM's own link.
+		Bandwidth of the VM's network link, in megabits per second.
 		*/
 		link_mbps: z.number().positive().default(1000),
 	}),
 	/**
-	Figures are always shown on the ready address, and on `metrics` too when it is set.
+	Metrics are always served on the `ready` address, and also on `metrics` if it is set.
 	*/
 	listen: z.strictObject({
 		callers: address, ready: address, peers: address, metrics: address.optional(),
@@ -39,7 +39,7 @@
 		settle_ms: milliseconds.default(500),
 		retry_ms: milliseconds.default(400),
 		/**
-		Longer than an outage as a rule lasts: a node that only the store cannot hear must stay registered.
+		Longer than a typical store outage: a node that has only lost its connection to the store must stay registered.
 		*/
 		lease_ms: milliseconds.default(30_000),
 		renew_ms: milliseconds.default(2000),
@@ -50,7 +50,7 @@
 		slack: z.number().min(0).default(10),
 		window_s: seconds.default(10),
 		/**
-		Nodes that are taken to share the slack before more are known.
+		Number of nodes assumed to share the slack until the actual number is known.
 		*/
 		assumed_nodes: z.int().min(1).default(8),
 	}).prefault({}),
@@ -68,17 +68,17 @@
 	}).prefault({}),
 	peers: z.strictObject({
 		/**
-		Five heartbeats, so that links are looked after with them.
+		Timeout after which a peer link without messages is closed: five heartbeat intervals.
 		*/
 		silence_ms: milliseconds.default(1250),
 		news_ms: milliseconds.default(20),
 		heartbeat_ms: milliseconds.default(250),
 		/**
-		Largest fleet in which every node is linked with every other.
+		Maximum number of nodes for a full mesh; larger fleets use relays.
 		*/
 		mesh_nodes: z.int().min(1).default(16),
 		/**
-		Time after which a relay that could not be reached is tried again.
+		Time after which an unreachable relay is tried again.
 		*/
 		suspect_ms: milliseconds.default(8000),
 	}).prefault({}),
@@ -89,32 +89,32 @@
 	drain: z.strictObject({
 		grace_s: seconds.default(8),
 		/**
-		Time after which the balancer has taken the node out.
+		Time that the load balancer needs to remove the node.
 		*/
 		balancer_ms: milliseconds.default(2500),
 	}).prefault({}),
 	/**
-	Duties that the platform asks of one node at a time; off without the table.
+	Singleton duties, run by one node at a time; disabled if this table is missing.
 	*/
 	duties: z.strictObject({
 		address,
 		/**
-		Names of the duties, as the platform offers them.
+		Platform names of the offered duties.
 		*/
 		offered: z.array(z.string()).default([]),
 		timeout_ms: milliseconds.default(1200),
 		lease_ms: z.int().min(1000).max(60_000).default(2000),
 		/**
-		Time within which the duty may not change hands to and fro.
+		Time for which a node that lost the duty does not take it back.
 		*/
 		order_ms: milliseconds.default(3000),
 		window_s: seconds.default(5),
 		/**
-		Time after a window in which the counts of other nodes arrive.
+		Delay after a window for the counts of other nodes to arrive.
 		*/
 		settle_ms: milliseconds.default(1500),
 		/**
-		Fewest replicas of a pool, as a part of the most that are allowed.
+		Minimum replicas of a pool, as a share of its maximum.
 		*/
 		least_share: z.number().min(0).max(1).default(0.5),
 	}).optional(),
--- a/config/settings/src/parse-gateway-settings.ts
+++ b/config/settings/src/parse-gateway-settings.ts
@@ -6,10 +6,10 @@
 import {validateTable} from './validate-table.ts';
 
 /**
- Reads the text of a gateway node's settings file. The error names every fault with its key.
+ Parses the text of a gateway node's settings file. The error lists every invalid key with its line.
 
  @example
- parseGatewaySettings('[node]\nname = "a1"').isErr(); // true: parts are missing
+ parseGatewaySettings('[node]\nname = "a1"').isErr(); // true: keys are missing
  */
 export function parseGatewaySettings(text: string): Result<GatewaySettings, ValvesaddleError> {
 	return parseToml(text).andThen(table => validateTable(gatewaySettingsSchema, table, text));
--- a/config/settings/src/parse-settings.ts
+++ b/config/settings/src/parse-settings.ts
@@ -5,10 +5,10 @@
 import type {Settings} from './settings.ts';
 
 /**
- Reads the text of a settings file. The error names every fault with its key, and the line where TOML itself is broken.
+ Parses the text of a settings file. The error lists every invalid key with its line, or the line of the TOML syntax error.
 
  @example
- parseSettings('[node]\nid = "a1"').isErr(); // true: parts are missing
+ parseSettings('[node]\nid = "a1"').isErr(); // true: keys are missing
  */
 export function parseSettings(text: string): Result<Settings, ValvesaddleError> {
 	return parseToml(text).andThen(table => checkSettings(table, text));
--- a/config/settings/src/parse-toml.ts
+++ b/config/settings/src/parse-toml.ts
@@ -3,7 +3,7 @@
 import {ValvesaddleError} from '@valvesaddle/error';
 
 /**
- Reads TOML. The error names the line where it is broken.
+ Parses TOML. The error contains the line and column of the syntax error.
 
  @example
  parseToml('a = 1')._unsafeUnwrap(); // {a: 1}
--- a/config/settings/src/settings-schema.ts
+++ b/config/settings/src/settings-schema.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
 
 const name = z.string().regex(/^[\da-z][\d\-.a-z]{0,62}$/v, 'expected 1 to 63 of a-z, 0-9, ".", "-"');
-const address = z.string().regex(/^(?:\d{1,3}(?:\.\d{1,3}){3}|\[[\d:a-f]+\]):\d{1,5}$/iv, 'expected an IP number and a port, such as "10.0.0.5:7100"');
+const address = z.string().regex(/^(?:\d{1,3}(?:\.\d{1,3}){3}|\[[\d:a-f]+\]):\d{1,5}$/iv, 'expected an IP address and a port, such as "10.0.0.5:7100"');
 const milliseconds = z.int().min(1).max(86_400_000);
 
 const node = z.strictObject({
@@ -77,7 +77,7 @@
 }).prefault({});
 
 /**
-Form of a node's settings file.
+Schema of a node's settings file.
 */
 export const settingsSchema = z.strictObject({
 	node, listen, peer, platform, operators: z.array(operator).default([]), observe, limits, dispatch, claims, drain,
--- a/config/settings/src/settings.ts
+++ b/config/settings/src/settings.ts
@@ -6,6 +6,6 @@
 	: Value extends Record<string, unknown> ? {readonly [Key in keyof Value]: DeepReadonly<Value[Key]>} : Value;
 
 /**
-Settings of a node, checked and with defaults filled in.
+Validated settings of a node, with defaults filled in.
 */
 export type Settings = DeepReadonly<z.infer<typeof settingsSchema>>;
--- a/config/settings/src/validate-table.ts
+++ b/config/settings/src/validate-table.ts
@@ -4,11 +4,11 @@
 import {findKeyLine} from './find-key-line.ts';
 
 /**
- Checks a table of settings against its form and fills in defaults. The error names every fault with its key and line.
+ Validates settings against a schema and fills in defaults. The error lists every invalid key with its line.
 
- @param schema - The form.
- @param table - The settings as read.
- @param text - The file that the table comes from, to name lines; empty when there is none.
+ @param schema - Schema to validate against.
+ @param table - Parsed settings.
+ @param text - Source text, used to report line numbers; empty if there is none.
  @example
  validateTable(settingsSchema, {node: {id: 'a1'}}, '').isErr(); // true
  */
@@ -18,10 +18,10 @@
 		return ok(parsed.data);
 	}
 
-	const faults = parsed.error.issues.map(issue => {
+	const errors = parsed.error.issues.map(issue => {
 		const keys = issue.code === 'unrecognized_keys' ? [...issue.path, issue.keys[0] ?? ''] : issue.path;
 		const line = findKeyLine(text, keys.map(String));
 		return `${keys.join('.')}${line === undefined ? '' : ` (line ${line})`}: ${issue.message}`;
 	});
-	return err(new ValvesaddleError('ERR_VALVESADDLE_SETTINGS_INVALID', faults.join('\n')));
+	return err(new ValvesaddleError('ERR_VALVESADDLE_SETTINGS_INVALID', errors.join('\n')));
 }
--- a/config/settings/test/gateway-settings.test.ts
+++ b/config/settings/test/gateway-settings.test.ts
@@ -10,7 +10,7 @@
 };
 
 /**
-Fills a template in as the platform does: a section is left out where its value is missing.
+Renders the template like the platform: a section without a value is left out.
 */
 function fillTemplate(text: string, given: Readonly<Record<string, string>>): string {
 	const fields = new Map(Object.entries(given));
@@ -19,14 +19,14 @@
 		.replaceAll(/\{\{(?<name>[\w\-.]+)\}\}/gv, (_field, name: string) => fields.get(name) ?? '');
 }
 
-test('the template of the deployment, filled in, is a valid file', async t => {
+test('the rendered deployment template is a valid settings file', async t => {
 	const settings = parseGatewaySettings(fillTemplate(await readFile(template, 'utf8'), values))._unsafeUnwrap();
 	t.match(settings, {
 		node: {name: 'n1', cpu_share: 0.675, core_speed: 2}, listen: {peers: '10.0.0.1:7340'}, retry: {ratio: 0.2, slack: 56, window_s: 7.5}, drain: {grace_s: 8}, selection: {reuse_s: 10},
 	});
 });
 
-test('every fault is named with its key', t => {
+test('every invalid key is listed', t => {
 	const error = parseGatewaySettings('[node]\nname = "n1"\n[retry]\nratio = -1\nunknown = 2\n')._unsafeUnwrapErr();
 	t.equal(error.code, 'ERR_VALVESADDLE_SETTINGS_INVALID');
 	for (const key of ['node.data_centre', 'listen', 'store', 'retry.ratio (line 4)', 'retry.unknown (line 5)']) {
@@ -36,7 +36,7 @@
 	t.end();
 });
 
-test('a deployment that names no bounds gets the defaults', async t => {
+test('a deployment without bounds gets the defaults', async t => {
 	const fields = Object.fromEntries(Object.entries(values).filter(([name]) => !name.startsWith('bounds.')));
 	const settings = parseGatewaySettings(fillTemplate(await readFile(template, 'utf8'), fields))._unsafeUnwrap();
 	t.match(settings, {
@@ -44,7 +44,7 @@
 	});
 });
 
-test('by default a node stays registered through an outage of the store, and notices it in seconds', async t => {
+test('default lease times keep a node registered through a store outage and detect it within seconds', async t => {
 	const {store} = parseGatewaySettings(fillTemplate(await readFile(template, 'utf8'), values))._unsafeUnwrap();
 	t.ok(store.lease_ms >= 20_000);
 	t.ok(store.renew_ms <= 2000);
--- a/config/settings/test/settings.test.ts
+++ b/config/settings/test/settings.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'tap';
 import {parseSettings} from '@valvesaddle/settings';
 
-const sound = `
+const validSettings = `
 [node]
 id = "a1"
 data_centre = "plovdiv-a"
@@ -15,25 +15,25 @@
 kv_urls = ["http://10.0.0.9:8500"]
 `;
 
-test('a short file is enough, the rest has defaults', t => {
-	const settings = parseSettings(sound)._unsafeUnwrap();
+test('missing keys get defaults', t => {
+	const settings = parseSettings(validSettings)._unsafeUnwrap();
 	t.equal(settings.node.id, 'a1');
 	t.equal(settings.listen.callers, '127.0.0.1:7100');
 	t.equal(settings.dispatch.mode, 'pool');
 	t.end();
 });
 
-const faults: ReadonlyArray<readonly [string, string, string]> = [
-	['broken TOML', `${sound}\n[[`, 'line 13'],
-	['a wrong value', sound.replace('id = "a1"', 'id = "A 1"'), 'node.id (line 3): expected 1 to 63'],
-	['an unknown key', `${sound}\n[limits]\nbody_byte = 5`, 'limits.body_byte (line 14)'],
-	['a name instead of an IP number', `${sound}\n[listen]\ncallers = "localhost:80"`, 'listen.callers (line 14): expected an IP number'],
-	['a short secret', sound.replace('0123456789abcdef', 'short'), 'peer.token (line 8)'],
+const invalidCases: ReadonlyArray<readonly [string, string, string]> = [
+	['invalid TOML', `${validSettings}\n[[`, 'line 13'],
+	['an invalid value', validSettings.replace('id = "a1"', 'id = "A 1"'), 'node.id (line 3): expected 1 to 63'],
+	['an unknown key', `${validSettings}\n[limits]\nbody_byte = 5`, 'limits.body_byte (line 14)'],
+	['a host name instead of an IP address', `${validSettings}\n[listen]\ncallers = "localhost:80"`, 'listen.callers (line 14): expected an IP address'],
+	['a short secret', validSettings.replace('0123456789abcdef', 'short'), 'peer.token (line 8)'],
 	['a missing table', '', 'node'],
 ];
 
-for (const [name, text, words] of faults) {
-	test(`${name} is named with its key and line`, t => {
+for (const [name, text, words] of invalidCases) {
+	test(`${name} is reported with its key and line`, t => {
 		const result = parseSettings(text);
 		t.equal(result.isErr() && result.error.code, 'ERR_VALVESADDLE_SETTINGS_INVALID');
 		t.match(result.isErr() && result.error.message, words);
@@ -41,7 +41,7 @@
 	});
 }
 
-test('every fault of a file is named at once', t => {
+test('all errors of a file are reported together', t => {
 	const result = parseSettings('[node]\nid = "A"\n[peer]\ntoken = "x"');
 	const message = result.isErr() ? result.error.message : '';
 	for (const key of ['node.id', 'node.data_centre', 'peer.token', 'platform']) {
