--- a/config/store/src/change.ts
+++ b/config/store/src/change.ts
@@ -1,15 +1,15 @@
 import type {Configuration} from '@valvesaddle/types';
 
 /**
-A change that an operator wants accepted.
+A configuration change submitted by an operator.
 */
 export type Change = {
 	/**
-	Unique id; applying it again never changes anything twice.
+	Unique id; makes repeated calls of `apply` idempotent.
 	*/
 	readonly changeId: string;
 	/**
-	Revision that the change was made against.
+	Revision that the change is based on.
 	*/
 	readonly expectedRevision: number;
 	readonly configuration: Configuration;
--- a/config/store/src/config-store.ts
+++ b/config/store/src/config-store.ts
@@ -6,7 +6,7 @@
 import type {ConfigWatchResult} from './config-watch-result.ts';
 
 /**
-The configuration in the key-value service.
+Stores the configuration in the key-value service.
 */
 export type ConfigStore = {
 	/**
@@ -15,7 +15,7 @@
 	readonly read: () => ResultAsync<ConfigurationRecord | undefined, ValvesaddleError>;
 	readonly readRevision: (revision: number) => ResultAsync<ConfigurationRecord | undefined, ValvesaddleError>;
 	/**
-	 Accepts a change. Errors: `…CONFIGURATION_CONFLICT` (not applied), `…CONFIGURATION_UNKNOWN` (ask again with the
+	 Accepts a change. Errors: `…CONFIGURATION_CONFLICT` (not applied), `…CONFIGURATION_UNKNOWN` (retry with the
 	 same id), `…KV_UNAVAILABLE` (not applied).
 	 */
 	readonly apply: (change: Change) => ResultAsync<ConfigurationRecord, ValvesaddleError>;
--- a/config/store/src/config-watch-result.ts
+++ b/config/store/src/config-watch-result.ts
@@ -1,7 +1,7 @@
 import type {ConfigurationRecord} from '@valvesaddle/types';
 
 /**
-What a watch of the configuration saw.
+Result of a configuration watch.
 */
 export type ConfigWatchResult = {
 	readonly record: ConfigurationRecord | undefined;
--- a/config/store/src/create-config-store.ts
+++ b/config/store/src/create-config-store.ts
@@ -15,31 +15,31 @@
 const currentKey = 'valvesaddle/configuration/current';
 const historyPrefix = 'valvesaddle/configuration/history';
 /**
-Changes remembered to answer an apply that is sent again; six hours' worth at the size designed for.
+Number of accepted changes kept, so that a repeated `apply` is recognized.
 */
-const mostRecentChanges = 500;
-const readBackTries = 3;
+const maximumRecentChanges = 500;
+const readBackAttempts = 3;
 /**
-The service's own limit for a value.
+Maximum size of a value in the key-value service.
 */
-const largestValueBytes = 1024 * 1024;
+const maximumValueBytes = 1024 * 1024;
 
-type Stored = {
+type StoredRecord = {
 	readonly record: ConfigurationRecord | undefined;
 	readonly modifyIndex: number;
 };
 
 /**
- Creates the store of the configuration. Keys: `valvesaddle/configuration/current`, `…/history/<revision>`.
+ Creates the configuration store. Keys: `valvesaddle/configuration/current`, `…/history/<revision>`.
 
  @example
  const accepted = await store.apply({changeId: 'raise-floor', expectedRevision: 7, configuration, author: 'iva'});
  */
 export function createConfigStore(kv: KvStore): ConfigStore {
-	const readStored = (): ResultAsync<Stored, ValvesaddleError> => kv.get(currentKey).andThen(entry => toStored(entry));
+	const readStored = (): ResultAsync<StoredRecord, ValvesaddleError> => kv.get(currentKey).andThen(entry => toStoredRecord(entry));
 
 	/**
-	Keeps the revision that is about to be replaced; create-only, so writing it twice changes nothing.
+	Archives the revision that is about to be replaced. It is only ever created, so a repeated write has no effect.
 	*/
 	function writeHistory(record: ConfigurationRecord | undefined): ResultAsync<unknown, ValvesaddleError> {
 		return record === undefined
@@ -47,9 +47,9 @@
 			: kv.compareAndSwap(`${historyPrefix}/${record.revision}`, formatRecord(record), 0);
 	}
 
-	async function settleLostReply(change: Change): Promise<Result<ConfigurationRecord, ValvesaddleError>> {
-		for (let attempt = 0; attempt < readBackTries; attempt++) {
-			// eslint-disable-next-line no-await-in-loop -- a try follows on the one before
+	async function readBackChange(change: Change): Promise<Result<ConfigurationRecord, ValvesaddleError>> {
+		for (let attempt = 0; attempt < readBackAttempts; attempt++) {
+			// eslint-disable-next-line no-await-in-loop -- attempts are sequential
 			const stored = await readStored();
 			const accepted = stored.isOk() ? findAccepted(stored.value.record, change) : undefined;
 			if (accepted !== undefined) {
@@ -57,20 +57,20 @@
 			}
 		}
 
-		// Not found does not mean not applied: the write may still be on its way.
+		// The change may still be applied: its write may be in flight.
 		return err(new ValvesaddleError('ERR_VALVESADDLE_CONFIGURATION_UNKNOWN', `the reply to change "${change.changeId}" was lost`));
 	}
 
 	/**
-	A configuration that no value of the service holds is refused before anything is written.
+	Rejects a configuration that exceeds the size of a value, before anything is written.
 	*/
 	function checkSize(text: string): Result<string, ValvesaddleError> {
-		return text.length <= largestValueBytes
+		return text.length <= maximumValueBytes
 			? ok(text)
-			: err(new ValvesaddleError('ERR_VALVESADDLE_CONFIGURATION_INVALID', `the configuration takes ${text.length} bytes as stored, more than ${largestValueBytes}`));
+			: err(new ValvesaddleError('ERR_VALVESADDLE_CONFIGURATION_INVALID', `the configuration takes ${text.length} bytes when compressed; the maximum is ${maximumValueBytes}`));
 	}
 
-	async function write(change: Change, {record, modifyIndex}: Stored): Promise<Result<ConfigurationRecord, ValvesaddleError>> {
+	async function write(change: Change, {record, modifyIndex}: StoredRecord): Promise<Result<ConfigurationRecord, ValvesaddleError>> {
 		const next = toRecord(change, record);
 		const text = checkSize(formatRecord(next));
 		if (text.isErr()) {
@@ -79,10 +79,10 @@
 
 		const written = await writeHistory(record).andThen(() => kv.compareAndSwap(currentKey, text.value, modifyIndex));
 		if (written.isErr()) {
-			return written.error.code === 'ERR_VALVESADDLE_KV_UNKNOWN_OUTCOME' ? settleLostReply(change) : err(written.error);
+			return written.error.code === 'ERR_VALVESADDLE_KV_UNKNOWN_OUTCOME' ? readBackChange(change) : err(written.error);
 		}
 
-		return written.value ? ok(next) : err(toConflict(change, undefined));
+		return written.value ? ok(next) : err(toConflictError(change, undefined));
 	}
 
 	function apply(change: Change): ResultAsync<ConfigurationRecord, ValvesaddleError> {
@@ -95,7 +95,7 @@
 			const revision = stored.record?.revision ?? 0;
 			return revision === change.expectedRevision
 				? new ResultAsync(write(change, stored))
-				: errAsync(toConflict(change, revision));
+				: errAsync(toConflictError(change, revision));
 		});
 	}
 
@@ -103,13 +103,13 @@
 		read: () => readStored().map(({record}) => record),
 		readRevision: revision => readStored().andThen(({record}) => record?.revision === revision
 			? ok(record)
-			: kv.get(`${historyPrefix}/${revision}`).andThen(entry => toStored(entry)).map(stored => stored.record)),
+			: kv.get(`${historyPrefix}/${revision}`).andThen(entry => toStoredRecord(entry)).map(stored => stored.record)),
 		apply,
-		watch: options => kv.watch(currentKey, options).andThen(({entry, index}) => toStored(entry).map(({record}) => ({record, index}))),
+		watch: options => kv.watch(currentKey, options).andThen(({entry, index}) => toStoredRecord(entry).map(({record}) => ({record, index}))),
 	};
 }
 
-function toStored(entry: KvEntry | undefined): Result<Stored, ValvesaddleError> {
+function toStoredRecord(entry: KvEntry | undefined): Result<StoredRecord, ValvesaddleError> {
 	return entry === undefined
 		? ok({record: undefined, modifyIndex: 0})
 		: parseRecord(entry.value).map(record => ({record, modifyIndex: entry.modifyIndex}));
@@ -117,21 +117,21 @@
 
 function toRecord(change: Change, before: ConfigurationRecord | undefined): ConfigurationRecord {
 	const revision = change.expectedRevision + 1;
-	const recentChanges = [{changeId: change.changeId, revision}, ...(before?.recentChanges ?? [])].slice(0, mostRecentChanges);
+	const recentChanges = [{changeId: change.changeId, revision}, ...(before?.recentChanges ?? [])].slice(0, maximumRecentChanges);
 	return {
 		revision, changeId: change.changeId, author: change.author, acceptedAt: Date.now(), recentChanges, configuration: change.configuration,
 	};
 }
 
 /**
-The record under which a change was accepted earlier; of an older one only revision and id are known.
+Finds the record of a change that was accepted earlier. For older changes only the revision and the id are accurate.
 */
 function findAccepted(record: ConfigurationRecord | undefined, change: Change): ConfigurationRecord | undefined {
 	const earlier = record?.recentChanges.find(({changeId}) => changeId === change.changeId);
 	return record && earlier && {...record, revision: earlier.revision, changeId: earlier.changeId};
 }
 
-function toConflict(change: Change, revision: number | undefined): ValvesaddleError {
-	const found = revision === undefined ? 'another change was accepted meanwhile' : `the newest revision is ${revision}`;
-	return new ValvesaddleError('ERR_VALVESADDLE_CONFIGURATION_CONFLICT', `change "${change.changeId}" was made against revision ${change.expectedRevision}, but ${found}`);
+function toConflictError(change: Change, revision: number | undefined): ValvesaddleError {
+	const found = revision === undefined ? 'another change was accepted first' : `the newest revision is ${revision}`;
+	return new ValvesaddleError('ERR_VALVESADDLE_CONFIGURATION_CONFLICT', `change "${change.changeId}" is based on revision ${change.expectedRevision}, but ${found}`);
 }
--- a/config/store/test/config-store.test.ts
+++ b/config/store/test/config-store.test.ts
@@ -21,7 +21,7 @@
 	};
 }
 
-test('of two operators who change the same revision one is accepted and one gets a conflict', async t => {
+test('of two changes to the same revision one is accepted and one gets a conflict', async t => {
 	const {store} = await startStore(t);
 	const results = await Promise.all([store.apply(createChange('iva-1', 0)), store.apply(createChange('ned-1', 0))]);
 	t.equal(results.filter(result => result.isOk()).length, 1);
@@ -30,12 +30,12 @@
 	t.equal((await store.read())._unsafeUnwrap()?.revision, 1);
 });
 
-test('a change made against an older revision gets a conflict and changes nothing', async t => {
+test('a change based on another revision gets a conflict and changes nothing', async t => {
 	const {store} = await startStore(t);
 	await store.apply(createChange('one', 0));
 	await store.apply(createChange('two', 1));
 	for (const expectedRevision of [0, 1, 3]) {
-		// eslint-disable-next-line no-await-in-loop -- one after the other
+		// eslint-disable-next-line no-await-in-loop -- writes are sequential
 		const late = await store.apply(createChange(`late-${expectedRevision}`, expectedRevision));
 		t.equal(late.isErr() && late.error.code, 'ERR_VALVESADDLE_CONFIGURATION_CONFLICT');
 	}
@@ -43,7 +43,7 @@
 	t.equal((await store.read())._unsafeUnwrap()?.changeId, 'two');
 });
 
-test('a change sent again with its id is answered with its first revision and applied once', async t => {
+test('a repeated change returns its first revision and is applied once', async t => {
 	const {store} = await startStore(t);
 	await store.apply(createChange('one', 0));
 	await store.apply(createChange('two', 1));
@@ -59,15 +59,15 @@
 ];
 
 for (const [fault, expected] of cases) {
-	test(`a change whose write meets "${fault}" is answered ${expected}; sent again it is in force once`, async t => {
+	test(`a change whose write meets "${fault}" returns ${expected}; repeated, it is applied once`, async t => {
 		const {server, store} = await startStore(t);
 		server.failNextWrite(fault);
 		const first = await store.apply(createChange('one', 0));
 		t.equal(first.isOk() ? 'accepted' : first.error.code, expected);
 		let again = await store.apply(createChange('one', 0));
 		while (again.isErr() && again.error.code === 'ERR_VALVESADDLE_CONFIGURATION_CONFLICT') {
-			// The late write came between; its own id is found now.
-			// eslint-disable-next-line no-await-in-loop -- asks until the answer is sure
+			// The delayed write was applied in between; the next call finds its id.
+			// eslint-disable-next-line no-await-in-loop -- retries until the outcome is known
 			again = await store.apply(createChange('one', 0));
 		}
 
@@ -77,15 +77,15 @@
 	});
 }
 
-test('every earlier revision can be read', async t => {
+test('all earlier revisions can be read', async t => {
 	const {store} = await startStore(t);
 	for (let revision = 0; revision < 4; revision++) {
-		// eslint-disable-next-line no-await-in-loop -- in order
+		// eslint-disable-next-line no-await-in-loop -- sequential
 		await store.apply(createChange(`change-${revision + 1}`, revision));
 	}
 
 	for (let revision = 1; revision <= 4; revision++) {
-		// eslint-disable-next-line no-await-in-loop -- in order
+		// eslint-disable-next-line no-await-in-loop -- sequential
 		t.equal((await store.readRevision(revision))._unsafeUnwrap()?.changeId, `change-${revision}`);
 	}
 
