--- a/bench/capacity/src/measure-grants.ts
+++ b/bench/capacity/src/measure-grants.ts
@@ -42,7 +42,7 @@
 
 function createSide(node: string, addresses: ReadonlyMap<string, string>, metrics: Metrics) {
 	const network = createPeerNetwork({
-		node, host: '127.0.0.1', port: 0, token, findAddress: name => addresses.get(name), silenceMs, isCompressed: false, metrics,
+		node, host: '127.0.0.1', port: 0, token, findAddress: name => addresses.get(name), linkTimeoutMs: silenceMs, isCompressed: false, metrics,
 	});
 	const membership: Membership = {
 		...createMembership({
--- a/emulator/beliefs/src/create-emulated-network.ts
+++ b/emulator/beliefs/src/create-emulated-network.ts
@@ -54,7 +54,7 @@
 
 	function addLink(node: string, socket: EmulatedSocket): void {
 		const link = createPeerLink({
-			node, socket: socket as unknown as WebSocket, handlers, silenceMs, metrics,
+			node, socket: socket as unknown as WebSocket, handlers, linkTimeoutMs: silenceMs, metrics,
 			onClose() {
 				all.delete(link);
 				if (links.get(node) !== link) {
--- a/node/gateway/src/create-gateway.ts
+++ b/node/gateway/src/create-gateway.ts
@@ -87,7 +87,7 @@
 		token: self.token,
 		findAddress: id => view.nodes().find(node => node.id === id)?.address,
 		findToken: id => view.nodes().find(node => node.id === id)?.token ?? '',
-		silenceMs: peers.silence_ms,
+		linkTimeoutMs: peers.silence_ms,
 		isCompressed: false,
 		metrics,
 	});
--- a/node/gateway/test/stale-belief.test.ts
+++ b/node/gateway/test/stale-belief.test.ts
@@ -64,7 +64,7 @@
 	await platform.open();
 	let asked = 0;
 	const peer = createPeerNetwork({
-		node: 'z1', host: '127.0.0.1', port: 0, token: 'secret', findAddress: () => undefined, silenceMs: 10_000, isCompressed: false, metrics: createMetrics(),
+		node: 'z1', host: '127.0.0.1', port: 0, token: 'secret', findAddress: () => undefined, linkTimeoutMs: 10_000, isCompressed: false, metrics: createMetrics(),
 	});
 	const ignore = (): undefined => undefined;
 	const address = await peer.listen({
--- a/node/router/src/answer-page-schema.ts
+++ b/node/router/src/answer-page-schema.ts
@@ -2,7 +2,7 @@
 import {isErrorCode, type ErrorCode} from '@valvesaddle/error';
 import type {AnswerEnd} from '@valvesaddle/answers';
 
-const end = z.discriminatedUnion('kind', [
+const endSchema = z.discriminatedUnion('kind', [
 	z.object({kind: z.literal('complete'), finishReason: z.string(), tokens: z.number()}),
 	z.object({kind: z.literal('reply'), reply: z.object({status: z.int(), contentType: z.string(), body: z.string()})}),
 	z.object({
@@ -22,5 +22,5 @@
 */
 export const answerPageSchema = z.object({
 	parts: z.array(z.string()).readonly(),
-	end: end.optional().transform((value): AnswerEnd | undefined => value),
+	end: endSchema.optional().transform((value): AnswerEnd | undefined => value),
 });
--- a/node/router/src/create-catch-up.ts
+++ b/node/router/src/create-catch-up.ts
@@ -6,12 +6,12 @@
 /**
 The watch on the key-value service usually brings a change within this time.
 */
-const patienceMs = 300;
+const catchUpDelayMs = 300;
 /**
 Longest wait for a peer's answer before another may be asked, in milliseconds: many round trips between data centres, and
 the time of a record behind other messages.
 */
-const answerMs = 1000;
+const answerTimeoutMs = 1000;
 
 type CatchUpOptions = {
 	readonly network: PeerNetwork;
@@ -29,29 +29,29 @@
  */
 export function createCatchUp({network, follower}: CatchUpOptions): CatchUp {
 	let isRunning = false;
-	const unanswered = new Set<string>();
+	const pendingPeers = new Set<string>();
 
-	async function askPeer(peer: string): Promise<void> {
-		unanswered.add(peer);
+	async function readFromPeer(peer: string): Promise<void> {
+		pendingPeers.add(peer);
 		const result = await network.call(peer, 'configuration.compare', {revision: follower.revision()});
-		unanswered.delete(peer);
+		pendingPeers.delete(peer);
 		if (result.isOk()) {
 			follower.offerText(result.value, peer);
 		}
 	}
 
 	async function run(revision: number, peer: string): Promise<void> {
-		await delay(patienceMs, undefined, {ref: false});
+		await delay(catchUpDelayMs, undefined, {ref: false});
 		if (follower.revision() >= revision) {
 			return;
 		}
 
 		// A call on a living link may stay open without end; its answer is taken in whenever it comes.
-		await Promise.race([askPeer(peer), delay(answerMs, undefined, {ref: false})]);
+		await Promise.race([readFromPeer(peer), delay(answerTimeoutMs, undefined, {ref: false})]);
 	}
 
 	return (revision, peer) => {
-		if (isRunning || unanswered.has(peer) || follower.revision() >= revision) {
+		if (isRunning || pendingPeers.has(peer) || follower.revision() >= revision) {
 			return;
 		}
 
--- a/node/router/src/create-health.ts
+++ b/node/router/src/create-health.ts
@@ -11,7 +11,7 @@
 /**
 Rounds without any answer after which the node counts as isolated.
 */
-const isolatedRounds = 2;
+const isolationRounds = 2;
 const retryAfterMs = 1000;
 
 /**
@@ -25,38 +25,38 @@
  */
 export function createHealth(options: HealthOptions): Health {
 	const {follower, store, membership, network, logger, node} = options;
-	let silentRounds = 0;
-	let drain: 'no' | 'grace' | 'refuse' = 'no';
+	let failedRounds = 0;
+	let drainPhase: 'no' | 'grace' | 'refuse' = 'no';
 	let timer: NodeJS.Timeout | undefined;
-	let logged: NodeState = 'starting';
+	let loggedState: NodeState = 'starting';
 
 	function getState(): NodeState {
-		if (drain !== 'no') {
+		if (drainPhase !== 'no') {
 			return 'draining';
 		}
 
-		if (silentRounds >= isolatedRounds) {
+		if (failedRounds >= isolationRounds) {
 			return 'isolated';
 		}
 
 		return follower.isSettled() || follower.revision() > 0 ? 'ready' : 'starting';
 	}
 
-	function recordChange(): void {
+	function recordStateChange(): void {
 		const state = getState();
-		if (state === logged) {
+		if (state === loggedState) {
 			return;
 		}
 
-		logger.info({name: 'node-state', from: logged, to: state});
-		logged = state;
+		logger.info({name: 'node-state', from: loggedState, to: state});
+		loggedState = state;
 	}
 
 	function listNeighbours(): readonly string[] {
 		return rankOwners(`neighbours/${node}`, membership.others()).slice(0, neighbourCount);
 	}
 
-	async function wasHeardBy(neighbour: string): Promise<boolean> {
+	async function checkNeighbour(neighbour: string): Promise<boolean> {
 		const result = await network.call(neighbour, 'configuration.compare', {revision: follower.revision()});
 		if (result.isErr()) {
 			membership.suspect(neighbour);
@@ -76,20 +76,20 @@
 	async function runRound(): Promise<void> {
 		const neighbours = listNeighbours();
 		if (neighbours.length === 0) {
-			silentRounds = 0;
+			failedRounds = 0;
 			return;
 		}
 
-		const answers = await Promise.all(neighbours.map(async neighbour => wasHeardBy(neighbour)));
-		const isHeard = answers.includes(true) || await canReadStore();
-		silentRounds = isHeard ? 0 : silentRounds + 1;
-		recordChange();
+		const answers = await Promise.all(neighbours.map(async neighbour => checkNeighbour(neighbour)));
+		const isConnected = answers.includes(true) || await canReadStore();
+		failedRounds = isConnected ? 0 : failedRounds + 1;
+		recordStateChange();
 	}
 
 	const refusals: Readonly<Record<NodeState, () => ValvesaddleError | undefined>> = {
 		starting: () => new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'the node has no configuration yet', {retryAfterMs}),
 		isolated: () => new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'the node reaches no other node and no key-value service', {retryAfterMs}),
-		draining: () => drain === 'refuse' ? new ValvesaddleError('ERR_VALVESADDLE_DRAINING', 'the node is leaving', {retryAfterMs}) : undefined,
+		draining: () => drainPhase === 'refuse' ? new ValvesaddleError('ERR_VALVESADDLE_DRAINING', 'the node is leaving', {retryAfterMs}) : undefined,
 		ready: () => undefined,
 	};
 
@@ -99,15 +99,15 @@
 				void runRound();
 			}, options.gossipMs);
 			timer.unref();
-			follower.events.on('changed', recordChange);
+			follower.events.on('changed', recordStateChange);
 		},
 		state: getState,
 		markDraining() {
-			drain = 'grace';
-			recordChange();
+			drainPhase = 'grace';
+			recordStateChange();
 		},
 		refuseNew() {
-			drain = 'refuse';
+			drainPhase = 'refuse';
 		},
 		refusal: () => refusals[getState()](),
 		close() {
--- a/node/router/src/create-peer-handlers.ts
+++ b/node/router/src/create-peer-handlers.ts
@@ -27,7 +27,7 @@
 	readonly catchUp: CatchUp;
 };
 
-const longestReadMs = 5000;
+const maximumReadMs = 5000;
 
 /**
  Creates the answers to all that peers ask of a node.
@@ -64,7 +64,7 @@
 			}
 
 			// All that is left in one message held up urgent calls behind it, and over 2 MiB it broke the link.
-			return fitPage(await log.readWithin(offset, longestReadMs));
+			return fitPage(await log.readWithin(offset, maximumReadMs));
 		},
 		'configuration.compare'(parameters, peer) {
 			const {revision} = parse(compareSchema, parameters);
--- a/node/router/src/create-peer-asker.ts
+++ b/node/router/src/create-peer-requester.ts
@@ -3,9 +3,9 @@
 /**
 Peers asked at a time.
 */
-const askedPeers = 3;
+const maximumPeers = 3;
 
-type PeerAskerOptions = {
+type PeerRequesterOptions = {
 	readonly network: PeerNetwork;
 	/**
 	Peers that may be asked, the ones to prefer first; some may be named twice.
@@ -24,16 +24,16 @@
  @example
  const answers = createPeerAsker({network, listPeers: network.connected, revision: follower.revision})();
  */
-export function createPeerAsker({network, listPeers, revision}: PeerAskerOptions): () => ReadonlyArray<Promise<unknown>> {
-	const unanswered = new Set<string>();
+export function createPeerRequester({network, listPeers, revision}: PeerRequesterOptions): () => ReadonlyArray<Promise<unknown>> {
+	const pendingPeers = new Set<string>();
 
-	async function askPeer(peer: string): Promise<unknown> {
-		unanswered.add(peer);
+	async function callPeer(peer: string): Promise<unknown> {
+		pendingPeers.add(peer);
 		const result = await network.call(peer, 'configuration.compare', {revision: revision()});
-		unanswered.delete(peer);
+		pendingPeers.delete(peer);
 		return result.unwrapOr(undefined);
 	}
 
 	// Peers that leave a question open are passed over: asked again they would take the place of one that answers.
-	return () => [...new Set(listPeers())].filter(peer => !unanswered.has(peer)).slice(0, askedPeers).map(async peer => askPeer(peer));
+	return () => [...new Set(listPeers())].filter(peer => !pendingPeers.has(peer)).slice(0, maximumPeers).map(async peer => callPeer(peer));
 }
--- a/node/router/src/create-router.ts
+++ b/node/router/src/create-router.ts
@@ -24,7 +24,7 @@
 import {createCatchUp} from './create-catch-up.ts';
 import {createDrain} from './create-drain.ts';
 import {createHealth} from './create-health.ts';
-import {createPeerAsker} from './create-peer-asker.ts';
+import {createPeerRequester} from './create-peer-requester.ts';
 import {createPeerHandlers} from './create-peer-handlers.ts';
 import type {Router} from './router.ts';
 import type {RouterOptions} from './router-options.ts';
@@ -61,7 +61,7 @@
 		...parseAddress(settings.listen.peers),
 		token: settings.peer.token,
 		findAddress: membership.findAddress,
-		silenceMs: settings.peer.silence_ms,
+		linkTimeoutMs: settings.peer.silence_ms,
 		isCompressed: settings.peer.compress,
 		metrics,
 	});
@@ -69,7 +69,7 @@
 		store,
 		watchMs: settings.platform.kv_watch_ms,
 		retryMs: settings.platform.kv_timeout_ms,
-		askPeers: createPeerAsker({
+		askPeers: createPeerRequester({
 			network, listPeers: () => [...network.connected(), ...membership.others()], revision: () => follower.revision(),
 		}),
 		metrics,
--- a/node/router/test/failures.test.ts
+++ b/node/router/test/failures.test.ts
@@ -12,7 +12,7 @@
 import {getExpectedAnswer} from './expected-answer.ts';
 import {getContent} from './get-content.ts';
 
-function getDispatching(fleet: Fleet, pool = 'drafting'): FleetNode | undefined {
+function findDispatcherNode(fleet: Fleet, pool = 'drafting'): FleetNode | undefined {
 	return fleet.nodes.find(({router}) => router.status().pools.some(status => status.pool === pool));
 }
 
@@ -45,13 +45,13 @@
 test('an engine that asked for a pause gets no requests until it is over', async t => {
 	const fleet = await startFleet({nodes: 2, engines: [{stepMs: 2}, {stepMs: 2}]});
 	t.teardown(fleet.close);
-	const callTogether = async () => Promise.all(Array.from({length: 8}, async (_value, call) => callNode(fleet.nodes[call % 2]!.callers, '/v1/chat/completions', {body: createChat(4)})));
-	const results = await callTogether();
+	const callAll = async () => Promise.all(Array.from({length: 8}, async (_value, call) => callNode(fleet.nodes[call % 2]!.callers, '/v1/chat/completions', {body: createChat(4)})));
+	const results = await callAll();
 	fleet.engines[0]!.setFault('busy');
-	results.push(...await callTogether());
+	results.push(...await callAll());
 	const {refused} = fleet.engines[0]!.counts();
 	t.ok(refused > 0);
-	results.push(...await callTogether());
+	results.push(...await callAll());
 	t.same(results.map(result => getContent(result)), results.map(() => getExpectedAnswer(4)));
 	t.equal(fleet.engines[0]!.counts().refused, refused);
 });
@@ -76,7 +76,7 @@
 	});
 	t.teardown(fleet.close);
 	await callNode(fleet.nodes[0]!.callers, '/v1/chat/completions', {body: createChat(1)});
-	const dispatching = getDispatching(fleet)!;
+	const dispatching = findDispatcherNode(fleet)!;
 	const entry = fleet.nodes.find(node => node !== dispatching)!;
 	const answers = [40, 41, 42].map(async tokens => callNode(entry.callers, '/v1/chat/completions', {body: createChat(tokens)}));
 	await waitUntil(() => dispatching.router.status().pools.some(({waiting}) => waiting === 2));
@@ -166,7 +166,7 @@
 	t.teardown(fleet.close);
 	const answers = fleet.nodes.flatMap(node => [30, 60].map(async tokens => callNode(node.callers, '/v1/chat/completions', {body: createChat(tokens)})));
 	await waitForTokens(fleet, 20);
-	const leaving = getDispatching(fleet)!;
+	const leaving = findDispatcherNode(fleet)!;
 	await leaving.router.drain();
 	const contents = (await Promise.all(answers)).map(result => getContent(result));
 	t.same(contents, fleet.nodes.flatMap(() => [getExpectedAnswer(30), getExpectedAnswer(60)]));
--- a/node/router/test/long-answers.test.ts
+++ b/node/router/test/long-answers.test.ts
@@ -37,7 +37,7 @@
 
 	const addresses = new Map<string, string>();
 	const create = (node: string): PeerNetwork => createPeerNetwork({
-		node, host: '127.0.0.1', port: 0, token: 'x', findAddress: name => addresses.get(name), silenceMs: 60_000, isCompressed: false, metrics: createMetrics(),
+		node, host: '127.0.0.1', port: 0, token: 'x', findAddress: name => addresses.get(name), linkTimeoutMs: 60_000, isCompressed: false, metrics: createMetrics(),
 	});
 	const a = create('a');
 	const b = create('b');
--- a/node/router/test/path.test.ts
+++ b/node/router/test/path.test.ts
@@ -51,7 +51,7 @@
 	t.equal((await callNode(callers, '/readyz', {key: ''})).status, 200);
 });
 
-type BadCase = {
+type InvalidCase = {
 	readonly name: string;
 	readonly path?: string;
 	readonly key?: string;
@@ -61,7 +61,7 @@
 	readonly code: string;
 };
 
-const badCases: readonly BadCase[] = [
+const invalidCases: readonly InvalidCase[] = [
 	{
 		name: 'an unknown key', key: 'wrong', body: createChat(1), status: 401, code: 'ERR_VALVESADDLE_UNAUTHENTICATED',
 	},
@@ -97,7 +97,7 @@
 		configure: configuration => ({...configuration, bindings: configuration.bindings.filter(({account}) => account === 'sawmill')}),
 	});
 	t.teardown(fleet.close);
-	for (const {name, path, key, headers, body, status, code} of badCases) {
+	for (const {name, path, key, headers, body, status, code} of invalidCases) {
 		// eslint-disable-next-line no-await-in-loop -- one case after the other
 		const result = await callNode(fleet.nodes[0]!.callers, path ?? '/v1/chat/completions', {body, ...(key !== undefined && {key}), ...(headers !== undefined && {headers})});
 		t.match(result, {status, json: {error: {code, ran: 'no'}}}, name);
--- a/node/router/test/mute-peers.test.ts
+++ b/node/router/test/unanswered-calls.test.ts
@@ -13,7 +13,7 @@
 import {createMetrics} from '@valvesaddle/metrics';
 import type {PeerNetwork} from '@valvesaddle/network';
 import {createCatchUp} from '../src/create-catch-up.ts';
-import {createPeerAsker} from '../src/create-peer-asker.ts';
+import {createPeerRequester} from '../src/create-peer-requester.ts';
 
 const down = new ValvesaddleError('ERR_VALVESADDLE_KV_UNAVAILABLE', 'down');
 
@@ -74,7 +74,7 @@
 
 test('peers that never answer are left out when peers are asked anew', async t => {
 	const {network, calls, answer} = createNetwork();
-	const askPeers = createPeerAsker({network, listPeers: () => ['mute', 'n2', 'n2', 'n3', 'n4', 'n5'], revision: () => 1});
+	const askPeers = createPeerRequester({network, listPeers: () => ['mute', 'n2', 'n2', 'n3', 'n4', 'n5'], revision: () => 1});
 	const [muteAnswer, ...others] = askPeers();
 	t.same(await Promise.all(others), [createText(8), createText(8)]);
 	askPeers();
@@ -93,7 +93,7 @@
 			return errAsync(new ValvesaddleError('ERR_VALVESADDLE_PEER_UNREACHABLE', 'broken'));
 		},
 	} as unknown as PeerNetwork;
-	const askPeers = createPeerAsker({network, listPeers: () => ['n2'], revision: () => 1});
+	const askPeers = createPeerRequester({network, listPeers: () => ['n2'], revision: () => 1});
 	t.same(await Promise.all(askPeers()), [undefined]);
 	t.same(await Promise.all(askPeers()), [undefined]);
 	t.equal(calls, 2);
--- a/peer/membership/src/create-membership.ts
+++ b/peer/membership/src/create-membership.ts
@@ -7,7 +7,7 @@
 /**
 Reads are spread over this part of the pause, so that nodes do not read in step.
 */
-const jitterPart = 0.2;
+const jitterFraction = 0.2;
 
 /**
  Creates the membership of a node.
@@ -24,11 +24,11 @@
 	let leavingEndpoints: ReadonlySet<string> = new Set();
 	let timer: NodeJS.Timeout | undefined;
 	let isClosed = false;
-	let fingerprint = '';
+	let lastSnapshot = '';
 
 	function isSuspect(node: string): boolean {
-		const since = suspects.get(node);
-		return since !== undefined && Date.now() - since < options.suspectMs;
+		const suspectedAt = suspects.get(node);
+		return suspectedAt !== undefined && Date.now() - suspectedAt < options.suspectMs;
 	}
 
 	function getRouters(region?: string): readonly string[] {
@@ -39,15 +39,15 @@
 
 	function emitIfChanged(): void {
 		const current = JSON.stringify([getRouters(), [...leavingEndpoints]]);
-		if (current === fingerprint) {
+		if (current === lastSnapshot) {
 			return;
 		}
 
-		fingerprint = current;
+		lastSnapshot = current;
 		void events.emit('changed');
 	}
 
-	async function readOnce(vmList: NonNullable<MembershipOptions['vmList']>): Promise<void> {
+	async function readList(vmList: NonNullable<MembershipOptions['vmList']>): Promise<void> {
 		const result = await vmList.read();
 		if (result.isErr()) {
 			options.metrics.increment('membership.read-failures');
@@ -67,8 +67,8 @@
 		emitIfChanged();
 	}
 
-	async function readAgain(vmList: NonNullable<MembershipOptions['vmList']>): Promise<void> {
-		await readOnce(vmList);
+	async function readListAgain(vmList: NonNullable<MembershipOptions['vmList']>): Promise<void> {
+		await readList(vmList);
 		startTimer(vmList);
 	}
 
@@ -77,10 +77,10 @@
 			return;
 		}
 
-		const pauseMs = options.pollMs * (1 + ((Math.random() - 0.5) * jitterPart));
+		const delayMs = options.pollMs * (1 + ((Math.random() - 0.5) * jitterFraction));
 		timer = setTimeout(() => {
-			void readAgain(vmList);
-		}, pauseMs);
+			void readListAgain(vmList);
+		}, delayMs);
 		timer.unref();
 	}
 
@@ -91,7 +91,7 @@
 				return;
 			}
 
-			await readOnce(options.vmList);
+			await readList(options.vmList);
 			startTimer(options.vmList);
 		},
 		routers: getRouters,
--- a/peer/network/src/create-peer-link.ts
+++ b/peer/network/src/create-peer-link.ts
@@ -21,13 +21,13 @@
 /**
 Pings go out at this part of the silence that breaks a link.
 */
-const pingPart = 3;
+const pingsPerTimeout = 3;
 
 /**
 A link that was heard but confirmed nothing for so many silences is ended: the other end takes in no news. Several, since
 a confirmation waits behind all that was sent before it.
 */
-const unconfirmedSilences = 5;
+const unconfirmedTimeouts = 5;
 
 /**
  Creates a link over an open socket. The link owns the socket.
@@ -39,15 +39,15 @@
 export function createPeerLink(options: PeerLinkOptions): PeerLink {
 	const {socket, metrics} = options;
 	// The steady clock: when the time of day was set, idle links were closed at once, or no pings went out.
-	let heardAt = performance.now();
-	let usedAt = heardAt;
-	let pingedAt = heardAt;
-	let tickedAt = heardAt;
+	let lastReceivedAt = performance.now();
+	let lastUsedAt = lastReceivedAt;
+	let lastPingAt = lastReceivedAt;
+	let lastTickAt = lastReceivedAt;
 	/**
 	Time of the first ping without any answer since; `undefined` when none is open.
 	*/
 	let unansweredSince: number | undefined;
-	let pending = 0;
+	let pendingCalls = 0;
 	const sendWindow = createSendWindow(text => {
 		socket.ping(text);
 	});
@@ -82,12 +82,12 @@
 	}
 
 	function applyPong(data: RawData): void {
-		markHeard();
-		metrics.increment('peer.pongs-invalid', sendWindow.applyPong(toText(data)) ? 0 : 1);
+		markReceived();
+		metrics.increment('peer.pongs-invalid', sendWindow.applyPong(decodeText(data)) ? 0 : 1);
 	}
 
 	async function handleMessage(data: RawData): Promise<void> {
-		const text = toText(data);
+		const text = decodeText(data);
 		metrics.increment('peer.bytes-received', text.length);
 		metrics.increment('peer.messages-received');
 		const message = parseMessage(text);
@@ -130,8 +130,8 @@
 		}
 	}
 
-	function markHeard(): void {
-		heardAt = performance.now();
+	function markReceived(): void {
+		lastReceivedAt = performance.now();
 		unansweredSince = undefined;
 	}
 
@@ -140,18 +140,18 @@
 	*/
 	function markPaused(now: number): void {
 		unansweredSince = undefined;
-		usedAt = now;
+		lastUsedAt = now;
 		sendWindow.markPaused(now);
 	}
 
 	socket.on('message', data => {
-		markHeard();
+		markReceived();
 		handleMessage(data).catch(() => {
 			metrics.increment('peer.messages-invalid');
 		});
 	});
 	socket.on('pong', applyPong);
-	socket.on('ping', markHeard);
+	socket.on('ping', markReceived);
 	socket.on('error', () => {
 		metrics.increment('peer.link-errors');
 	});
@@ -163,41 +163,41 @@
 	return {
 		node: options.node,
 		async call(method, parameters) {
-			usedAt = performance.now();
-			pending++;
+			lastUsedAt = performance.now();
+			pendingCalls++;
 			try {
 				const answer: unknown = await client.request(method, parameters);
 				return answer;
 			} finally {
-				pending--;
-				usedAt = performance.now();
+				pendingCalls--;
+				lastUsedAt = performance.now();
 			}
 		},
 		notify(method, parameters) {
-			usedAt = performance.now();
+			lastUsedAt = performance.now();
 			client.notify(method, parameters);
 		},
-		sendWritten(text) {
-			usedAt = performance.now();
+		sendSerialized(text) {
+			lastUsedAt = performance.now();
 			sendWritten(text);
 		},
 		tick(now) {
-			if (now - tickedAt >= options.silenceMs) {
+			if (now - lastTickAt >= options.linkTimeoutMs) {
 				markPaused(now);
 			}
 
-			tickedAt = now;
-			if (unansweredSince !== undefined && now - unansweredSince >= options.silenceMs) {
+			lastTickAt = now;
+			if (unansweredSince !== undefined && now - unansweredSince >= options.linkTimeoutMs) {
 				socket.terminate();
-			} else if (sendWindow.measureWait(now) >= unconfirmedSilences * options.silenceMs) {
+			} else if (sendWindow.measureWait(now) >= unconfirmedTimeouts * options.linkTimeoutMs) {
 				// It would be given no news for as long as it lives, and nothing else would end it.
 				metrics.increment('peer.links-unconfirmed');
 				socket.terminate();
-			} else if (pending > 0 && now - Math.max(heardAt, pingedAt) >= options.silenceMs / pingPart) {
-				pingedAt = now;
+			} else if (pendingCalls > 0 && now - Math.max(lastReceivedAt, lastPingAt) >= options.linkTimeoutMs / pingsPerTimeout) {
+				lastPingAt = now;
 				unansweredSince ??= now;
 				socket.ping(String(sendWindow.countSent()));
-			} else if (pending === 0 && now - Math.max(usedAt, heardAt) >= idleMs) {
+			} else if (pendingCalls === 0 && now - Math.max(lastUsedAt, lastReceivedAt) >= idleMs) {
 				socket.close();
 			}
 		},
@@ -209,7 +209,7 @@
 	};
 }
 
-function toText(data: RawData): string {
+function decodeText(data: RawData): string {
 	return data instanceof ArrayBuffer ? Buffer.from(data).toString() : data.toString();
 }
 
--- a/peer/network/src/create-peer-network.ts
+++ b/peer/network/src/create-peer-network.ts
@@ -17,8 +17,8 @@
 import type {PeerNetworkOptions} from './peer-network-options.ts';
 
 const nodeHeader = 'x-valvesaddle-node';
-const largestMessageBytes = 2 * 1024 * 1024;
-const ticksPerSilence = 5;
+const maximumMessageBytes = 2 * 1024 * 1024;
+const checksPerTimeout = 5;
 /**
 Small windows: messages are short and alike, and every link holds its own.
 */
@@ -37,8 +37,8 @@
 	const {metrics} = options;
 	const events = new Emittery<PeerEvents>();
 	const links = new Map<string, PeerLink>();
-	const opening = new Map<string, Promise<PeerLink>>();
-	const all = new Set<PeerLink>();
+	const openingLinks = new Map<string, Promise<PeerLink>>();
+	const allLinks = new Set<PeerLink>();
 	let handlers: PeerHandlers = {};
 	let httpServer: Server | undefined;
 	let socketServer: WebSocketServer | undefined;
@@ -46,21 +46,21 @@
 
 	function updateLinks(): void {
 		const now = performance.now();
-		for (const link of all) {
+		for (const link of allLinks) {
 			link.tick(now);
 		}
 
-		metrics.gauge('peer.bytes-waiting', Math.max(0, ...all.values().map(link => link.countUnconfirmed())));
-		timer = setTimeout(updateLinks, measureTick(options.silenceMs / ticksPerSilence)).unref();
+		metrics.gauge('peer.bytes-waiting', Math.max(0, ...allLinks.values().map(link => link.countUnconfirmed())));
+		timer = setTimeout(updateLinks, measureTick(options.linkTimeoutMs / checksPerTimeout)).unref();
 	}
 
-	let timer = setTimeout(updateLinks, measureTick(options.silenceMs / ticksPerSilence)).unref();
+	let timer = setTimeout(updateLinks, measureTick(options.linkTimeoutMs / checksPerTimeout)).unref();
 
 	function addLink(node: string, socket: WebSocket): PeerLink {
 		const link = createPeerLink({
-			node, socket, handlers, silenceMs: options.silenceMs, metrics,
+			node, socket, handlers, linkTimeoutMs: options.linkTimeoutMs, metrics,
 			onClose() {
-				all.delete(link);
+				allLinks.delete(link);
 				if (links.get(node) !== link) {
 					return;
 				}
@@ -70,7 +70,7 @@
 				void events.emit('lost', {node});
 			},
 		});
-		all.add(link);
+		allLinks.add(link);
 		links.set(node, link);
 		void events.emit('found', {node});
 		return link;
@@ -90,9 +90,9 @@
 
 		const socket = new WebSocket(`ws://${address}`, {
 			headers: {authorization: `Bearer ${options.findToken?.(node) ?? options.token}`, [nodeHeader]: options.node},
-			handshakeTimeout: options.silenceMs,
+			handshakeTimeout: options.linkTimeoutMs,
 			perMessageDeflate: options.isCompressed ? compression : false,
-			maxPayload: largestMessageBytes,
+			maxPayload: maximumMessageBytes,
 		});
 		const {promise, resolve, reject} = Promise.withResolvers<PeerLink>();
 		socket.once('open', () => {
@@ -110,12 +110,12 @@
 			return existing;
 		}
 
-		const started = opening.get(node) ?? openLink(node);
-		opening.set(node, started);
+		const started = openingLinks.get(node) ?? openLink(node);
+		openingLinks.set(node, started);
 		try {
 			return await started;
 		} finally {
-			opening.delete(node);
+			openingLinks.delete(node);
 		}
 	}
 
@@ -134,7 +134,7 @@
 			socketServer = new WebSocketServer({
 				server: httpServer,
 				perMessageDeflate: options.isCompressed ? compression : false,
-				maxPayload: largestMessageBytes,
+				maxPayload: maximumMessageBytes,
 				verifyClient: ({req}: {req: IncomingMessage}) => isPeer(req),
 			});
 			socketServer.on('connection', (socket, request) => {
@@ -156,7 +156,7 @@
 			const text = targets.length === 0 ? '' : JSON.stringify(createJSONRPCNotification(method, parameters));
 			for (const link of targets) {
 				try {
-					link.sendWritten(text);
+					link.sendSerialized(text);
 				} catch {
 					metrics.increment('peer.notifications-lost');
 				}
@@ -170,7 +170,7 @@
 		async close() {
 			isClosed = true;
 			clearTimeout(timer);
-			for (const link of all) {
+			for (const link of allLinks) {
 				link.close();
 			}
 
--- a/peer/network/src/peer-link-options.ts
+++ b/peer/network/src/peer-link-options.ts
@@ -9,7 +9,7 @@
 	readonly node: string;
 	readonly socket: WebSocket;
 	readonly handlers: PeerHandlers;
-	readonly silenceMs: number;
+	readonly linkTimeoutMs: number;
 	readonly metrics: Metrics;
 	readonly onClose: () => void;
 };
--- a/peer/network/src/peer-link.ts
+++ b/peer/network/src/peer-link.ts
@@ -8,7 +8,7 @@
 	/**
 	Sends a notification that was written already, for all links at once.
 	*/
-	readonly sendWritten: (text: string) => void;
+	readonly sendSerialized: (text: string) => void;
 	/**
 	Looks after the link: pings while it is in use, ends it after long silence. Takes the time of `performance.now()`.
 	*/
--- a/peer/network/src/peer-network-options.ts
+++ b/peer/network/src/peer-network-options.ts
@@ -22,7 +22,7 @@
 	/**
 	A link that was silent for so long while in use is broken, in milliseconds.
 	*/
-	readonly silenceMs: number;
+	readonly linkTimeoutMs: number;
 	/**
 	Whether messages are compressed: a quarter of the bytes for three times the processor time.
 	*/
--- a/peer/network/test/peer-link.test.ts
+++ b/peer/network/test/peer-link.test.ts
@@ -43,7 +43,7 @@
 		},
 	});
 	const link = createPeerLink({
-		node: 'b', socket: socket as unknown as WebSocket, handlers: {}, silenceMs, metrics, onClose() {
+		node: 'b', socket: socket as unknown as WebSocket, handlers: {}, linkTimeoutMs: silenceMs, metrics, onClose() {
 			// Not looked at here.
 		},
 	});
@@ -55,7 +55,7 @@
 /**
 Looks after a link as the network does, for so many milliseconds at the most; returns when it ended.
 */
-function runTicks({link, clock, getEnd}: ReturnType<typeof createLink>, durationMs: number, onTick: (at: number) => void): number | undefined {
+function advanceClock({link, clock, getEnd}: ReturnType<typeof createLink>, durationMs: number, onTick: (at: number) => void): number | undefined {
 	for (let at = tickMs; at <= durationMs; at += tickMs) {
 		clock.advance(tickMs);
 		onTick(at);
@@ -94,7 +94,7 @@
 test('a link whose other end sends but does not confirm is ended after five silences, and counted', t => {
 	const setup = createLink(t);
 	setup.link.notify('news', 'x'.repeat(40_000));
-	const endedAt = runTicks(setup, 60_000, () => {
+	const endedAt = advanceClock(setup, 60_000, () => {
 		setup.socket.emit('message', message);
 	}) ?? Infinity;
 	t.ok(endedAt >= 5 * silenceMs && endedAt <= 6 * silenceMs, `${endedAt} ms`);
@@ -106,7 +106,7 @@
 test('a pong that confirms nothing of what is open keeps no link alive', t => {
 	const setup = createLink(t);
 	setup.link.notify('news', 'x'.repeat(40_000));
-	const endedAt = runTicks(setup, 60_000, () => {
+	const endedAt = advanceClock(setup, 60_000, () => {
 		setup.socket.emit('pong', '0');
 	});
 	t.ok(endedAt !== undefined && endedAt <= 6 * silenceMs, `${endedAt} ms`);
@@ -117,7 +117,7 @@
 	const setup = createLink(t);
 	setup.link.notify('news', 'x'.repeat(40_000));
 	let answered = 0;
-	t.equal(runTicks(setup, 120_000, at => {
+	t.equal(advanceClock(setup, 120_000, at => {
 		setup.socket.emit('message', message);
 		if (at % (4 * silenceMs) !== 0) {
 			return;
@@ -135,7 +135,7 @@
 test('a link with too little under way to be asked about lives on', t => {
 	const setup = createLink(t);
 	setup.link.notify('news', 'x'.repeat(1000));
-	t.equal(runTicks(setup, 120_000, () => {
+	t.equal(advanceClock(setup, 120_000, () => {
 		setup.socket.emit('message', message);
 	}), undefined);
 	t.end();
@@ -158,7 +158,7 @@
 
 test('a link that nobody uses for a minute is closed', t => {
 	const setup = createLink(t);
-	t.equal(runTicks(setup, 120_000, () => {
+	t.equal(advanceClock(setup, 120_000, () => {
 		// Nothing comes.
 	}), 60_000);
 	t.equal(setup.getEnd(), 'closed');
@@ -170,7 +170,7 @@
 	await once(server, 'listening');
 	const {port} = server.address() as {readonly port: number};
 	const network = createPeerNetwork({
-		node: 'a', host: '127.0.0.1', port: 0, token: 'x', findAddress: () => `127.0.0.1:${port}`, silenceMs: 200, isCompressed: false, metrics: createMetrics(),
+		node: 'a', host: '127.0.0.1', port: 0, token: 'x', findAddress: () => `127.0.0.1:${port}`, linkTimeoutMs: 200, isCompressed: false, metrics: createMetrics(),
 	});
 	t.teardown(async () => {
 		await network.close();
@@ -184,21 +184,21 @@
 	return network;
 }
 
-function moveTimeOfDay(t: Test, byMs: number): void {
+function setSystemClock(t: Test, byMs: number): void {
 	const read = Date.now;
 	t.intercept(Date, 'now', {value: () => read() + byMs, writable: true});
 }
 
 test('a time of day that is set forward by a minute closes no link', async t => {
 	const network = await openNetwork(t, false);
-	moveTimeOfDay(t, 61_000);
+	setSystemClock(t, 61_000);
 	await delay(400);
 	t.same(network.connected(), ['b']);
 });
 
 test('a time of day that is set back by an hour leaves no call on a dead link without end', async t => {
 	const network = await openNetwork(t, true);
-	moveTimeOfDay(t, -3_600_000);
+	setSystemClock(t, -3_600_000);
 	const outcome = await Promise.race([network.call('b', 'dispatch.acquire', {}), delay(5000, undefined, {ref: false})]);
 	t.equal(outcome?.isErr() && outcome.error.code, 'ERR_VALVESADDLE_PEER_UNREACHABLE');
 });
--- a/peer/network/test/peer-network.test.ts
+++ b/peer/network/test/peer-network.test.ts
@@ -10,7 +10,7 @@
 async function startPair(t: Test, handlers: PeerHandlers, tokens: readonly [string, string] = [token, token]) {
 	const addresses = new Map<string, string>();
 	const create = (node: string, own: string): PeerNetwork => createPeerNetwork({
-		node, host: '127.0.0.1', port: 0, token: own, findAddress: name => addresses.get(name), silenceMs: 60_000, isCompressed: false, metrics: createMetrics(),
+		node, host: '127.0.0.1', port: 0, token: own, findAddress: name => addresses.get(name), linkTimeoutMs: 60_000, isCompressed: false, metrics: createMetrics(),
 	});
 	const a = create('a', tokens[0]);
 	const b = create('b', tokens[1]);
@@ -102,7 +102,7 @@
 		const {port} = server.address() as {readonly port: number};
 		const metrics = createMetrics();
 		const network = createPeerNetwork({
-			node: 'a', host: '127.0.0.1', port: 0, token, findAddress: () => `127.0.0.1:${port}`, silenceMs: 30, isCompressed: false, metrics,
+			node: 'a', host: '127.0.0.1', port: 0, token, findAddress: () => `127.0.0.1:${port}`, linkTimeoutMs: 30, isCompressed: false, metrics,
 		});
 		let pings = 0;
 		server.on('connection', socket => {
@@ -140,7 +140,7 @@
 test('a node that does not take in what was sent counts as not ready until it has confirmed it', async t => {
 	const addresses = new Map<string, string>();
 	const network = createPeerNetwork({
-		node: 'a', host: '127.0.0.1', port: 0, token, findAddress: name => addresses.get(name), silenceMs: 60_000, isCompressed: false, metrics: createMetrics(),
+		node: 'a', host: '127.0.0.1', port: 0, token, findAddress: name => addresses.get(name), linkTimeoutMs: 60_000, isCompressed: false, metrics: createMetrics(),
 	});
 	const server = new WebSocketServer({host: '127.0.0.1', port: 0, autoPong: false});
 	await once(server, 'listening');
