--- a/peer/network/src/create-peer-link.ts
+++ b/peer/network/src/create-peer-link.ts
@@ -15,17 +15,17 @@
 import {toRpcError} from './to-rpc-error.ts';
 
 /**
-A link without any call for so long is closed.
+A link without messages in either direction for this long is closed.
 */
 const idleMs = 60_000;
 /**
-Pings go out at this part of the silence that breaks a link.
+Pings sent within one link timeout while a call is pending.
 */
 const pingsPerTimeout = 3;
 
 /**
-A link that was heard but confirmed nothing for so many silences is ended: the other end takes in no news. Several, since
-a confirmation waits behind all that was sent before it.
+Link timeouts after which a link is closed whose peer sends messages but does not confirm those it is sent. More than one,
+since the confirmation follows all data that was sent before it.
 */
 const unconfirmedTimeouts = 5;
 
@@ -33,18 +33,18 @@
  Creates a link over an open socket. The link owns the socket.
 
  @example
- const link = createPeerLink({node: 'b1', socket, handlers, silenceMs: 600, metrics, onClose() {}});
+ const link = createPeerLink({node: 'b1', socket, handlers, linkTimeoutMs: 600, metrics, onClose() {}});
  await link.call('dispatch.acquire', request);
  */
 export function createPeerLink(options: PeerLinkOptions): PeerLink {
 	const {socket, metrics} = options;
-	// The steady clock: when the time of day was set, idle links were closed at once, or no pings went out.
+	// Monotonic, so that a change of the system clock does not affect timeouts.
 	let lastReceivedAt = performance.now();
 	let lastUsedAt = lastReceivedAt;
 	let lastPingAt = lastReceivedAt;
 	let lastTickAt = lastReceivedAt;
 	/**
-	Time of the first ping without any answer since; `undefined` when none is open.
+	Time of the first ping since the last received message; `undefined` when there is none.
 	*/
 	let unansweredSince: number | undefined;
 	let pendingCalls = 0;
@@ -67,10 +67,10 @@
 	});
 
 	function sendText(message: JSONRPCRequest | JSONRPCResponse | ReadonlyArray<JSONRPCRequest | JSONRPCResponse>): void {
-		sendWritten(JSON.stringify(message));
+		sendSerialized(JSON.stringify(message));
 	}
 
-	function sendWritten(text: string): void {
+	function sendSerialized(text: string): void {
 		if (socket.readyState !== WebSocket.OPEN) {
 			throw new ValvesaddleError('ERR_VALVESADDLE_PEER_UNREACHABLE', `the link to ${options.node} is closed`);
 		}
@@ -113,7 +113,7 @@
 	}
 
 	/**
-	Nobody waits for an answer, so nothing of the server's is needed; nearly all messages are such.
+	Bypasses the JSON-RPC server, since a notification has no response. Nearly all messages are notifications.
 	*/
 	function handleNotification({method, params}: JSONRPCRequest): void {
 		const handleFailed = (): void => {
@@ -136,7 +136,7 @@
 	}
 
 	/**
-	What other nodes sent while this process stood still is yet to be read: that time proves nothing.
+	Restarts all timeouts after this process was paused, since messages received meanwhile are not processed yet.
 	*/
 	function markPaused(now: number): void {
 		unansweredSince = undefined;
@@ -179,7 +179,7 @@
 		},
 		sendSerialized(text) {
 			lastUsedAt = performance.now();
-			sendWritten(text);
+			sendSerialized(text);
 		},
 		tick(now) {
 			if (now - lastTickAt >= options.linkTimeoutMs) {
@@ -190,7 +190,7 @@
 			if (unansweredSince !== undefined && now - unansweredSince >= options.linkTimeoutMs) {
 				socket.terminate();
 			} else if (sendWindow.measureWait(now) >= unconfirmedTimeouts * options.linkTimeoutMs) {
-				// It would be given no news for as long as it lives, and nothing else would end it.
+				// The node sends less to a peer whose send window is full, and messages from the peer keep the link from timing out.
 				metrics.increment('peer.links-unconfirmed');
 				socket.terminate();
 			} else if (pendingCalls > 0 && now - Math.max(lastReceivedAt, lastPingAt) >= options.linkTimeoutMs / pingsPerTimeout) {
--- a/peer/network/src/create-peer-network.ts
+++ b/peer/network/src/create-peer-network.ts
@@ -20,17 +20,17 @@
 const maximumMessageBytes = 2 * 1024 * 1024;
 const checksPerTimeout = 5;
 /**
-Small windows: messages are short and alike, and every link holds its own.
+Small windows limit the memory that each link takes; messages are short and similar.
 */
 const compression: PerMessageDeflateOptions = {
 	threshold: 0, serverMaxWindowBits: 11, clientMaxWindowBits: 11, zlibDeflateOptions: {level: 1, memLevel: 4},
 };
 
 /**
- Creates the network of a node: it listens for peers and opens links to them when first needed.
+ Creates the peer network of a node. It listens for links from peers and opens a link on the first message to a peer.
 
  @example
- const network = createPeerNetwork({node: 'a1', host: '127.0.0.1', port: 0, token, findAddress, silenceMs: 600, metrics});
+ const network = createPeerNetwork({node: 'a1', host: '127.0.0.1', port: 0, token, findAddress, linkTimeoutMs: 600, metrics});
  await network.listen({'peer.hello': () => 'hello'});
  */
 export function createPeerNetwork(options: PeerNetworkOptions): PeerNetwork {
@@ -152,7 +152,7 @@
 		},
 		broadcast(method, parameters, nodes) {
 			const targets = nodes === undefined ? links.values().toArray() : nodes.flatMap(node => links.get(node) ?? []);
-			// Written once: a relay tells some twenty nodes the same, four times a second.
+			// Serialized once for all links.
 			const text = targets.length === 0 ? '' : JSON.stringify(createJSONRPCNotification(method, parameters));
 			for (const link of targets) {
 				try {
--- a/peer/network/src/create-send-window.ts
+++ b/peer/network/src/create-send-window.ts
@@ -1,14 +1,14 @@
 import type {SendWindow} from './send-window.ts';
 
 /**
-Bytes that may be under way to a node before it counts as not ready: little enough that those of twenty nodes pass an uplink of
-7 Mbit/s within 0.4 s, and many times what a link carries within its round trip.
+Unconfirmed bytes above which a peer is not ready: the windows of twenty peers pass an uplink of 7 Mbit/s within 0.4 s, and
+one is many times what a link carries in a round trip.
 */
 const windowBytes = 16 * 1024;
 
 /**
- Creates the count of what is under way on a link. A ping follows what was sent in the same stream, so its answer confirms
- all that was sent before it.
+ Creates the send window of a link. Pings and messages are delivered in order, so a pong confirms all bytes sent before its
+ ping.
 
  @example
  const sendWindow = createSendWindow(text => socket.ping(text));
@@ -18,7 +18,7 @@
 	let sentBytes = 0;
 	let confirmedBytes = 0;
 	/**
-	Bytes that a ping under way will confirm; 0 when there is none.
+	Bytes that the outstanding ping will confirm; 0 when there is none.
 	*/
 	let probedBytes = 0;
 	let probedAt = 0;
@@ -42,7 +42,7 @@
 		},
 		countSent: () => sentBytes,
 		applyPong(text) {
-			// Taken at its word, a number that is none closed the window for good, and one too large opened it for good.
+			// An invalid count would close the window permanently, and one above the sent bytes would keep it open.
 			const bytes = Number(text);
 			if (!(Number.isSafeInteger(bytes) && bytes >= 0 && bytes <= sentBytes)) {
 				return false;
--- a/peer/network/src/from-rpc-error.ts
+++ b/peer/network/src/from-rpc-error.ts
@@ -5,7 +5,7 @@
 const dataSchema = z.object({code: z.string(), retryAfterMs: z.number().optional()});
 
 /**
- Turns what a JSON-RPC call failed with back into the error that the other node threw.
+ Converts the failure of a JSON-RPC call to the error that the other node threw.
 
  @example
  fromRpcError(error).code; // 'ERR_VALVESADDLE_NOT_READY'
--- a/peer/network/src/peer-events.ts
+++ b/peer/network/src/peer-events.ts
@@ -1,13 +1,13 @@
 /**
-What a peer network tells.
+Events of a peer network.
 */
 export type PeerEvents = {
 	/**
-	A link to this node opened.
+	A link to this node was opened.
 	*/
 	readonly found: {readonly node: string};
 	/**
-	The last link to this node broke; calls that waited on it failed.
+	The current link to this node was closed; its pending calls failed.
 	*/
 	readonly lost: {readonly node: string};
 };
--- a/peer/network/src/peer-link-options.ts
+++ b/peer/network/src/peer-link-options.ts
@@ -9,6 +9,9 @@
 	readonly node: string;
 	readonly socket: WebSocket;
 	readonly handlers: PeerHandlers;
+	/**
+	A link in use without a received message for this long is closed, in milliseconds.
+	*/
 	readonly linkTimeoutMs: number;
 	readonly metrics: Metrics;
 	readonly onClose: () => void;
--- a/peer/network/src/peer-link.ts
+++ b/peer/network/src/peer-link.ts
@@ -1,22 +1,25 @@
 /**
-One open WebSocket to another node, with JSON-RPC both ways.
+An open WebSocket to another node, with JSON-RPC in both directions.
 */
 export type PeerLink = {
 	readonly node: string;
 	readonly call: (method: string, parameters: unknown) => Promise<unknown>;
 	readonly notify: (method: string, parameters: unknown) => void;
 	/**
-	Sends a notification that was written already, for all links at once.
+	Sends a notification that is already serialized.
 	*/
 	readonly sendSerialized: (text: string) => void;
 	/**
-	Looks after the link: pings while it is in use, ends it after long silence. Takes the time of `performance.now()`.
+	Pings the peer while calls are pending, and closes the link when it times out or is idle. Takes the time of `performance.now()`.
 	*/
 	readonly tick: (now: number) => void;
 	/**
-	Bytes that were sent and that the other node has not yet confirmed.
+	Bytes that were sent and that the other node has not confirmed yet.
 	*/
 	readonly countUnconfirmed: () => number;
+	/**
+	Whether the send window has room.
+	*/
 	readonly isReady: () => boolean;
 	readonly close: () => void;
 };
--- a/peer/network/src/peer-network-options.ts
+++ b/peer/network/src/peer-network-options.ts
@@ -8,7 +8,7 @@
 	readonly host: string;
 	readonly port: number;
 	/**
-	Secret that peers have to present: the fleet's, or the node's own.
+	Secret that peers must present: shared by the fleet, or the node's own.
 	*/
 	readonly token: string;
 	/**
@@ -16,15 +16,15 @@
 	*/
 	readonly findAddress: (node: string) => string | undefined;
 	/**
-	Secret of a node, where each has its own; the fleet's secret otherwise.
+	Secret of a node, if each has its own; defaults to `token`.
 	*/
 	readonly findToken?: (node: string) => string;
 	/**
-	A link that was silent for so long while in use is broken, in milliseconds.
+	A link in use without a received message for this long is closed, in milliseconds.
 	*/
 	readonly linkTimeoutMs: number;
 	/**
-	Whether messages are compressed: a quarter of the bytes for three times the processor time.
+	Whether messages are compressed: about a quarter of the bytes for three times the CPU time.
 	*/
 	readonly isCompressed: boolean;
 	readonly metrics: Metrics;
--- a/peer/network/src/peer-network.ts
+++ b/peer/network/src/peer-network.ts
@@ -5,29 +5,29 @@
 import type {PeerHandlers} from './peer-handlers.ts';
 
 /**
-JSON-RPC between the nodes of a fleet, over WebSocket links that are opened when needed.
+JSON-RPC between the nodes of a fleet, over WebSocket links that are opened on demand.
 */
 export type PeerNetwork = {
 	readonly events: Emittery<PeerEvents>;
 	/**
-	Starts to listen; resolves to the address in use.
+	Starts to listen; resolves to the bound address.
 	*/
 	readonly listen: (handlers: PeerHandlers) => Promise<string>;
 	/**
-	Calls a method; a broken link fails it with `ERR_VALVESADDLE_PEER_UNREACHABLE`.
+	Calls a method; fails with `ERR_VALVESADDLE_PEER_UNREACHABLE` when the link breaks.
 	*/
 	readonly call: (node: string, method: string, parameters: unknown) => ResultAsync<unknown, ValvesaddleError>;
 	/**
-	Sends a notification; lost when the node cannot be reached.
+	Sends a notification, which is lost when the node is unreachable.
 	*/
 	readonly notify: (node: string, method: string, parameters: unknown) => void;
 	/**
-	Sends a notification over every link that is open now, or over those to the given nodes.
+	Sends a notification over every open link, or over those to the given nodes.
 	*/
 	readonly broadcast: (method: string, parameters: unknown, nodes?: readonly string[]) => void;
 	/**
-	Whether a node has taken in nearly all that was sent to it. What newer messages replace is only sent when this holds; what
-	must arrive soon is sent in any case, and then waits for little.
+	Whether the unconfirmed data sent to a node fits in its send window; `true` without a link. Messages that a later one
+	replaces are sent only then, so that urgent ones are not queued behind them.
 	*/
 	readonly isReady: (node: string) => boolean;
 	/**
@@ -35,7 +35,7 @@
 	*/
 	readonly connected: () => readonly string[];
 	/**
-	Breaks the link to a node that is silent or no longer needed; the next message opens a new one.
+	Closes the link to a node; the next message opens a new one.
 	*/
 	readonly disconnect: (node: string) => void;
 	readonly close: () => Promise<void>;
--- a/peer/network/src/send-window.ts
+++ b/peer/network/src/send-window.ts
@@ -1,27 +1,27 @@
 /**
-What a link sent, and what the other node has confirmed of it.
+Tracks the bytes that a link sent and those that the other node confirmed.
 */
 export type SendWindow = {
 	readonly addSent: (bytes: number) => void;
 	/**
-	Bytes sent so far, for a ping to carry.
+	Bytes sent so far, which a ping carries.
 	*/
 	readonly countSent: () => number;
 	/**
-	Takes in a pong; `false` when it says what cannot be.
+	Applies a pong; `false` when its count is invalid.
 	*/
 	readonly applyPong: (text: string) => boolean;
 	/**
-	Bytes that were sent and that the other node has not yet confirmed.
+	Bytes that were sent and that the other node has not confirmed yet.
 	*/
 	readonly countUnconfirmed: () => number;
 	readonly isReady: () => boolean;
 	/**
-	Time for which a confirmation has been waited for, in milliseconds; 0 when none is.
+	Time since the outstanding ping was sent, in milliseconds; 0 when there is none.
 	*/
 	readonly measureWait: (now: number) => number;
 	/**
-	Counts the wait for a confirmation from now on, since this process stood still.
+	Restarts the wait for a confirmation after this process was paused.
 	*/
 	readonly markPaused: (now: number) => void;
 };
--- a/peer/network/src/to-rpc-error.ts
+++ b/peer/network/src/to-rpc-error.ts
@@ -4,7 +4,7 @@
 const serverError = -32_000;
 
 /**
- Puts a failure of a handler into a JSON-RPC error response, its code in `data`.
+ Converts the error of a handler to a JSON-RPC error response with the error code in `data`.
 
  @example
  toRpcError(1, new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'no configuration yet'));
--- a/peer/network/test/peer-network.test.ts
+++ b/peer/network/test/peer-network.test.ts
@@ -23,23 +23,23 @@
 	return {a, b, address: addresses.get('b') ?? ''};
 }
 
-test('a call is answered, and the handler knows who called', async t => {
+test('a call is answered, and the handler receives the id of the calling node', async t => {
 	const {a} = await startPair(t, {'peer.echo': (parameters, peer) => ({parameters, peer})});
 	t.same((await a.call('b', 'peer.echo', {x: 1}))._unsafeUnwrap(), {parameters: {x: 1}, peer: 'a'});
 });
 
-test('answers that come out of order each reach their own call', async t => {
-	const gates = new Map<number, () => void>();
+test('answers that arrive out of order resolve their own calls', async t => {
+	const releases = new Map<number, () => void>();
 	const {a} = await startPair(t, {
 		async 'peer.wait'(parameters) {
 			const {promise, resolve} = Promise.withResolvers<void>();
-			gates.set(Number(parameters), resolve);
+			releases.set(Number(parameters), resolve);
 			await promise;
 			return parameters;
 		},
 	});
 	const calls = [1, 2, 3].map(async number => a.call('b', 'peer.wait', number));
-	while (gates.size < 3) {
+	while (releases.size < 3) {
 		// eslint-disable-next-line no-await-in-loop -- waits for the calls
 		await new Promise(resolve => {
 			setImmediate(resolve);
@@ -47,13 +47,13 @@
 	}
 
 	for (const number of [3, 1, 2]) {
-		gates.get(number)?.();
+		releases.get(number)?.();
 	}
 
 	t.same((await Promise.all(calls)).map(result => result._unsafeUnwrap()), [1, 2, 3]);
 });
 
-test('a handler\'s failure keeps its code over the wire', async t => {
+test('an error of a handler keeps its code and retry delay on the wire', async t => {
 	const {a} = await startPair(t, {
 		'peer.fail'() {
 			throw new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'not yet', {retryAfterMs: 700});
@@ -64,7 +64,7 @@
 });
 
 const unreachable: ReadonlyArray<readonly [string, readonly [string, string], string]> = [
-	['a node without a known address', [token, token], 'nobody'],
+	['a node without a known address', [token, token], 'unknown'],
 	['a node with another token', [token, 'another-secret-altogether'], 'b'],
 ];
 
@@ -76,7 +76,7 @@
 	});
 }
 
-test('calls that wait fail when the link breaks, and the loss is told', async t => {
+test('pending calls fail when the link breaks, and the `lost` event is emitted', async t => {
 	const {a, b} = await startPair(t, {
 		async 'peer.never'() {
 			await new Promise(() => {
@@ -94,9 +94,9 @@
 	t.equal((await lost).data.node, 'b');
 });
 
-test('a peer that is silent while a call waits is taken for lost, and one that answers pings is not', async t => {
-	for (const isFrozen of [true, false]) {
-		const server = new WebSocketServer({port: 0, host: '127.0.0.1', autoPong: !isFrozen});
+test('a peer that sends nothing while a call is pending is treated as lost, and one that answers pings is not', async t => {
+	for (const isUnresponsive of [true, false]) {
+		const server = new WebSocketServer({port: 0, host: '127.0.0.1', autoPong: !isUnresponsive});
 		// eslint-disable-next-line no-await-in-loop -- one after the other
 		await once(server, 'listening');
 		const {port} = server.address() as {readonly port: number};
@@ -116,14 +116,14 @@
 		// eslint-disable-next-line no-await-in-loop -- one after the other
 		const result = await network.call('b', 'peer.never', {});
 		t.equal(result.isErr() && result.error.code, 'ERR_VALVESADDLE_PEER_UNREACHABLE');
-		t.equal(pings < 12, isFrozen, `${pings} pings`);
+		t.equal(pings < 12, isUnresponsive, `${pings} pings`);
 		// eslint-disable-next-line no-await-in-loop -- one after the other
 		await network.close();
 		server.close();
 	}
 });
 
-test('a message that is no JSON-RPC is counted and does no harm', async t => {
+test('a message that is not JSON-RPC does not affect other calls', async t => {
 	const {a, address} = await startPair(t, {'peer.echo': value => value});
 	const socket = new WebSocket(`ws://${address}`, {headers: {authorization: `Bearer ${token}`, 'x-valvesaddle-node': 'c'}});
 	await new Promise(resolve => {
@@ -137,7 +137,7 @@
 	socket.terminate();
 });
 
-test('a node that does not take in what was sent counts as not ready until it has confirmed it', async t => {
+test('a node with a full send window is not ready until it confirms the data', async t => {
 	const addresses = new Map<string, string>();
 	const network = createPeerNetwork({
 		node: 'a', host: '127.0.0.1', port: 0, token, findAddress: name => addresses.get(name), linkTimeoutMs: 60_000, isCompressed: false, metrics: createMetrics(),
@@ -151,18 +151,18 @@
 		server.close();
 	});
 	const accepted = once(server, 'connection') as Promise<[WebSocket]>;
-	t.ok(network.isReady('b'), 'a message opens the link');
-	network.notify('b', 'news', 'x'.repeat(12_000));
+	t.ok(network.isReady('b'), 'ready without a link, which the first message opens');
+	network.notify('b', 'load', 'x'.repeat(12_000));
 	const [socket] = await accepted;
-	const [probe] = await once(socket, 'ping') as [Uint8Array];
-	t.ok(network.isReady('b'), 'a window is not full yet');
-	network.broadcast('news', 'x'.repeat(12_000));
+	const [ping] = await once(socket, 'ping') as [Uint8Array];
+	t.ok(network.isReady('b'), 'the window is not full yet');
+	network.broadcast('load', 'x'.repeat(12_000));
 	t.notOk(network.isReady('b'));
-	const probes = once(socket, 'ping') as Promise<[Uint8Array]>;
-	socket.pong(probe);
-	const [second] = await probes;
+	const nextPing = once(socket, 'ping') as Promise<[Uint8Array]>;
+	socket.pong(ping);
+	const [second] = await nextPing;
 	t.ok(network.isReady('b'), 'the first message is confirmed');
-	network.broadcast('news', 'x'.repeat(12_000));
+	network.broadcast('load', 'x'.repeat(12_000));
 	t.notOk(network.isReady('b'));
 	socket.pong(second);
 	await once(socket, 'ping');
