--- a/peer/membership/src/create-membership.ts
+++ b/peer/membership/src/create-membership.ts
@@ -5,7 +5,7 @@
 import type {MembershipOptions} from './membership-options.ts';
 
 /**
-Reads are spread over this part of the pause, so that nodes do not read in step.
+Fraction of the poll interval over which reads are spread, so that nodes do not read at the same time.
 */
 const jitterFraction = 0.2;
 
--- a/peer/membership/src/membership-events.ts
+++ b/peer/membership/src/membership-events.ts
@@ -1,9 +1,9 @@
 /**
-What membership tells.
+Events of a membership.
 */
 export type MembershipEvents = {
 	/**
-	The routers in use, or the leaving endpoints, are not the same as before.
+	The usable routers or the draining endpoints changed.
 	*/
 	readonly changed: undefined;
 };
--- a/peer/membership/src/membership-options.ts
+++ b/peer/membership/src/membership-options.ts
@@ -7,19 +7,19 @@
 */
 export type MembershipOptions = {
 	/**
-	This node as the list should show it.
+	This node, which is always a member, whatever the list contains.
 	*/
 	readonly self: Vm;
 	/**
-	`undefined` for a node without a fleet.
+	`undefined` for a node that runs without a fleet.
 	*/
 	readonly vmList: VmList | undefined;
 	/**
-	Pause between reads of the list, in milliseconds.
+	Interval between reads of the list, in milliseconds.
 	*/
 	readonly pollMs: number;
 	/**
-	Time for which a node that could not be reached is not asked again, in milliseconds.
+	Time for which an unreachable node is not listed as a router, in milliseconds.
 	*/
 	readonly suspectMs: number;
 	readonly metrics: Metrics;
--- a/peer/membership/test/membership.test.ts
+++ b/peer/membership/test/membership.test.ts
@@ -11,9 +11,9 @@
 import type {Vm} from '@valvesaddle/types';
 import {createMembership, type Membership} from '@valvesaddle/membership';
 
-function createVm(id: string, part: Partial<Vm> = {}): Vm {
+function createVm(id: string, overrides: Partial<Vm> = {}): Vm {
 	return {
-		id, role: 'router', address: `10.0.0.1:${id.length}`, dataCentre: 'dc-1', region: 'r1', state: 'live', ...part,
+		id, role: 'router', address: `10.0.0.1:${id.length}`, dataCentre: 'dc-1', region: 'r1', state: 'live', ...overrides,
 	};
 }
 
@@ -23,7 +23,7 @@
 		vmList: {
 			read: () => new ResultAsync(Promise.resolve(read())),
 			async close() {
-				// Nothing is open.
+				// Nothing to close.
 			},
 		},
 		pollMs: 1_000_000,
@@ -40,7 +40,7 @@
 	t.same(membership.routers().toSorted(), ['n1', 'n2']);
 });
 
-test('leaving routers and endpoints are known from the list and from their own word', async t => {
+test('routers and endpoints are leaving when the list says so or the router announces it', async t => {
 	const membership = await startMembership(() => ok([
 		createVm('n1'), createVm('n2', {state: 'leaving'}), createVm('n3'), createVm('e1', {role: 'endpoint', state: 'leaving'}), createVm('e2', {role: 'endpoint'}),
 	]));
@@ -51,7 +51,7 @@
 	t.same(membership.routers(), ['n1']);
 });
 
-test('a suspected node is left out for a while, or until it is heard', async t => {
+test('a suspected node is left out until the suspicion expires or it responds', async t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const membership = await startMembership(() => ok([createVm('n1'), createVm('n2')]));
@@ -64,14 +64,14 @@
 	t.same(membership.routers(), ['n1', 'n2']);
 });
 
-test('routers of the asked region go before all others, and others serve when there are none', async t => {
+test('only the routers of the given region are listed, or all when it has none', async t => {
 	const membership = await startMembership(() => ok([createVm('n1'), createVm('n2', {region: 'r2'})]));
 	t.teardown(membership.close);
 	t.same(membership.routers('r2'), ['n2']);
 	t.same(membership.routers('r9'), ['n1', 'n2']);
 });
 
-test('a list that cannot be read changes nothing', async t => {
+test('a failed read of the list changes nothing', async t => {
 	const results: Array<Result<readonly Vm[], ValvesaddleError>> = [
 		ok([createVm('n1'), createVm('n2')]),
 		err(new ValvesaddleError('ERR_VALVESADDLE_PEER_UNREACHABLE', 'down')),
