--- a/node/router/src/answer-page-schema.ts
+++ b/node/router/src/answer-page-schema.ts
@@ -18,7 +18,7 @@
 ]);
 
 /**
-Form of a page of an answer on the wire.
+Wire format of a page of an answer.
 */
 export const answerPageSchema = z.object({
 	parts: z.array(z.string()).readonly(),
--- a/node/router/src/catch-up.ts
+++ b/node/router/src/catch-up.ts
@@ -1,4 +1,4 @@
 /**
-Notes that a peer has a newer revision; fetches it from there unless the watch brings it first.
+Records that a peer has a newer revision, and reads it from that peer unless the watch delivers it first.
 */
 export type CatchUp = (revision: number, peer: string) => void;
--- a/node/router/src/compare-schema.ts
+++ b/node/router/src/compare-schema.ts
@@ -1,6 +1,6 @@
 import * as z from 'zod';
 
 /**
-Form of a comparison of revisions on the wire.
+Wire format of a `configuration.compare` request.
 */
 export const compareSchema = z.object({revision: z.int().min(0)});
--- a/node/router/src/create-answer-finder.ts
+++ b/node/router/src/create-answer-finder.ts
@@ -11,12 +11,12 @@
 };
 
 /**
-Finds where an answer of an account can be read; `undefined` when no node that can be reached holds it.
+Finds the source of an account's answer; `undefined` when no reachable node holds it.
 */
 type AnswerFinder = (requestId: string, account: string) => Promise<AnswerSource | undefined>;
 
 /**
- Creates the finder of answers: on this node, or on the one whose name the request id begins with.
+ Creates a finder of answers on this node or on the node whose id begins the request id.
 
  @example
  const source = await createAnswerFinder({node, answers, membership, network})('b1_5f', 'sawmill');
--- a/node/router/src/create-catch-up.ts
+++ b/node/router/src/create-catch-up.ts
@@ -4,12 +4,12 @@
 import type {CatchUp} from './catch-up.ts';
 
 /**
-The watch on the key-value service usually brings a change within this time.
+Time within which the watch on the key-value service usually delivers a change.
 */
 const catchUpDelayMs = 300;
 /**
-Longest wait for a peer's answer before another may be asked, in milliseconds: many round trips between data centres, and
-the time of a record behind other messages.
+Time after which another peer may be called, in milliseconds: many round trips between data centres, and the time that a
+record takes behind other messages.
 */
 const answerTimeoutMs = 1000;
 
@@ -19,9 +19,9 @@
 };
 
 /**
- Creates the way in which a node that is cut from the key-value service gets a newer configuration: from the first peer
- that told of it, one at a time, and only if the watch did not bring it meanwhile. Without that pause every node would
- be sent every change by each of its peers.
+ Creates the catch-up of a node whose watch on the key-value service is interrupted: reads a newer configuration from the
+ first peer that announced it, one peer at a time. The delay gives the watch time to deliver it, so that not every peer
+ sends every change.
 
  @example
  const catchUp = createCatchUp({network, follower});
@@ -46,7 +46,7 @@
 			return;
 		}
 
-		// A call on a living link may stay open without end; its answer is taken in whenever it comes.
+		// A call on a live link may never be answered; a late answer is still applied.
 		await Promise.race([readFromPeer(peer), delay(answerTimeoutMs, undefined, {ref: false})]);
 	}
 
--- a/node/router/src/create-drain.ts
+++ b/node/router/src/create-drain.ts
@@ -8,7 +8,7 @@
 type DrainOptions = {
 	readonly node: string;
 	/**
-	Time for the balancer to notice, in which new requests are still taken.
+	Time for the load balancer to notice, during which new requests are still accepted, in milliseconds.
 	*/
 	readonly graceMs: number;
 	readonly health: Health;
@@ -17,13 +17,13 @@
 	readonly executor: Executor;
 	readonly callerApi: CallerApi;
 	/**
-	Closes all tasks once nothing is open.
+	Closes all components; called when no request is open.
 	*/
 	readonly closeAll: () => Promise<void>;
 };
 
 /**
- Creates the graceful shutdown of a node. Calling it again waits for the same shutdown.
+ Creates the graceful shutdown of a node. Further calls wait for the same shutdown.
 
  @example
  const drain = createDrain(options);
--- a/node/router/src/create-health.ts
+++ b/node/router/src/create-health.ts
@@ -5,19 +5,19 @@
 import type {NodeState} from './node-state.ts';
 
 /**
-Neighbours to keep in touch with; fixed ones, so that few links are open.
+Peers that a node checks every round, always the same ones so that few links are open.
 */
 const neighbourCount = 3;
 /**
-Rounds without any answer after which the node counts as isolated.
+Rounds without any response after which the node is isolated.
 */
 const isolationRounds = 2;
 const retryAfterMs = 1000;
 
 /**
- Creates the health of a node. Every round it tells its revision to its neighbours, which answer with a newer one; a
- node that neither a neighbour nor the key-value service answers takes no new requests, since it cannot learn of new
- configurations.
+ Creates the health of a node. Every round it sends its revision to its neighbours, which return a newer configuration if
+ they have one. A node that reaches neither a neighbour nor the key-value service refuses new requests, since its
+ configuration may be stale.
 
  @example
  const health = createHealth(options);
@@ -56,7 +56,7 @@
 		return rankOwners(`neighbours/${node}`, membership.others()).slice(0, neighbourCount);
 	}
 
-	async function checkNeighbour(neighbour: string): Promise<boolean> {
+	async function didRespond(neighbour: string): Promise<boolean> {
 		const result = await network.call(neighbour, 'configuration.compare', {revision: follower.revision()});
 		if (result.isErr()) {
 			membership.suspect(neighbour);
@@ -80,16 +80,16 @@
 			return;
 		}
 
-		const answers = await Promise.all(neighbours.map(async neighbour => checkNeighbour(neighbour)));
-		const isConnected = answers.includes(true) || await canReadStore();
+		const responses = await Promise.all(neighbours.map(async neighbour => didRespond(neighbour)));
+		const isConnected = responses.includes(true) || await canReadStore();
 		failedRounds = isConnected ? 0 : failedRounds + 1;
 		recordStateChange();
 	}
 
 	const refusals: Readonly<Record<NodeState, () => ValvesaddleError | undefined>> = {
 		starting: () => new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'the node has no configuration yet', {retryAfterMs}),
-		isolated: () => new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'the node reaches no other node and no key-value service', {retryAfterMs}),
-		draining: () => drainPhase === 'refuse' ? new ValvesaddleError('ERR_VALVESADDLE_DRAINING', 'the node is leaving', {retryAfterMs}) : undefined,
+		isolated: () => new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'the node can reach neither another node nor the key-value service', {retryAfterMs}),
+		draining: () => drainPhase === 'refuse' ? new ValvesaddleError('ERR_VALVESADDLE_DRAINING', 'the node is draining', {retryAfterMs}) : undefined,
 		ready: () => undefined,
 	};
 
--- a/node/router/src/create-peer-handlers.ts
+++ b/node/router/src/create-peer-handlers.ts
@@ -30,7 +30,7 @@
 const maximumReadMs = 5000;
 
 /**
- Creates the answers to all that peers ask of a node.
+ Creates the handlers of all methods that peers call on a node.
 
  @example
  await network.listen(createPeerHandlers(options));
@@ -60,10 +60,10 @@
 			const {requestId, account, offset} = parse(readRequestSchema, parameters);
 			const log = answers.find(requestId);
 			if (log?.account !== account) {
-				throw new ValvesaddleError('ERR_VALVESADDLE_UNKNOWN_REQUEST', `no answer is kept under ${requestId}`);
+				throw new ValvesaddleError('ERR_VALVESADDLE_UNKNOWN_REQUEST', `no answer is stored for request ${requestId}`);
 			}
 
-			// All that is left in one message held up urgent calls behind it, and over 2 MiB it broke the link.
+			// A large message delays urgent calls behind it, and one over 2 MiB breaks the link.
 			return fitPage(await log.readWithin(offset, maximumReadMs));
 		},
 		'configuration.compare'(parameters, peer) {
--- a/node/router/src/create-peer-requester.ts
+++ b/node/router/src/create-peer-requester.ts
@@ -1,28 +1,28 @@
 import type {PeerNetwork} from '@valvesaddle/network';
 
 /**
-Peers asked at a time.
+Peers called at a time.
 */
 const maximumPeers = 3;
 
 type PeerRequesterOptions = {
 	readonly network: PeerNetwork;
 	/**
-	Peers that may be asked, the ones to prefer first; some may be named twice.
+	Peers that may be called, preferred ones first; may contain duplicates.
 	*/
 	readonly listPeers: () => readonly string[];
 	/**
-	Revision of this node's own configuration.
+	Revision of this node's configuration.
 	*/
 	readonly revision: () => number;
 };
 
 /**
- Creates the question to some peers for a newer configuration; each answer comes by itself, and is `undefined` where there
- is none.
+ Creates a function that requests a newer configuration from some peers. Each answer is a promise of its own, which may
+ never settle; it resolves to `undefined` if the call fails or the peer has none.
 
  @example
- const answers = createPeerAsker({network, listPeers: network.connected, revision: follower.revision})();
+ const answers = createPeerRequester({network, listPeers: network.connected, revision: follower.revision})();
  */
 export function createPeerRequester({network, listPeers, revision}: PeerRequesterOptions): () => ReadonlyArray<Promise<unknown>> {
 	const pendingPeers = new Set<string>();
@@ -34,6 +34,6 @@
 		return result.unwrapOr(undefined);
 	}
 
-	// Peers that leave a question open are passed over: asked again they would take the place of one that answers.
+	// Skips peers with an unanswered call, which would take the place of one that answers.
 	return () => [...new Set(listPeers())].filter(peer => !pendingPeers.has(peer)).slice(0, maximumPeers).map(async peer => callPeer(peer));
 }
--- a/node/router/src/create-remote-answer.ts
+++ b/node/router/src/create-remote-answer.ts
@@ -13,8 +13,8 @@
 };
 
 /**
- Creates a source that reads an answer from the node that holds it. When that node is lost, the answer ends with what
- can be said of it: it may have run.
+ Creates a source that reads an answer from the node that holds it. When that node is lost, the answer ends with an error
+ that says the request may have run.
 
  @example
  const {parts, end} = await createRemoteAnswer({network, holder: 'b1', requestId, account}).read(0);
@@ -27,7 +27,7 @@
 			return page.data;
 		}
 
-		const reason = result.isErr() ? result.error.message : 'the page has an unknown form';
+		const reason = result.isErr() ? result.error.message : 'the page is invalid';
 		return {
 			parts: [],
 			end: {
@@ -40,7 +40,7 @@
 		requestId,
 		async read(offset) {
 			for (;;) {
-				// eslint-disable-next-line no-await-in-loop -- an empty page means that nothing came yet
+				// eslint-disable-next-line no-await-in-loop -- an empty page means that no part has arrived yet
 				const page = await readPage(offset);
 				if (page.parts.length > 0 || page.end !== undefined) {
 					return page;
@@ -48,10 +48,10 @@
 			}
 		},
 		attach() {
-			// The holder counts its own readers.
+			// The node that holds the answer counts its readers.
 		},
 		detach() {
-			// The holder counts its own readers.
+			// The node that holds the answer counts its readers.
 		},
 	};
 }
--- a/node/router/src/create-router.ts
+++ b/node/router/src/create-router.ts
@@ -30,7 +30,7 @@
 import type {RouterOptions} from './router-options.ts';
 
 /**
- Creates a router node from its settings: all tasks, wired together.
+ Creates a router node with all its components from its settings.
 
  @example
  const router = createRouter({settings});
--- a/node/router/src/fit-page.ts
+++ b/node/router/src/fit-page.ts
@@ -2,14 +2,13 @@
 import type {AnswerPage} from '@valvesaddle/answers';
 
 /**
-Most bytes of parts in one message: it passes an uplink of 7 Mbit/s in 75 ms, for which urgent calls on the same link wait
-at most.
+Maximum bytes of parts in one message, which delays urgent calls on the same link by up to 75 ms on an uplink of 7 Mbit/s.
 */
 const maximumPageBytes = 64 * 1024;
 
 /**
- Cuts a page to what one message to another node may hold, and to one part at the least. The end comes with the last part
- only.
+ Truncates a page to what one message to another node may hold, but to no less than one part. A truncated page has no
+ end.
 
  @example
  return fitPage(await log.readWithin(offset, 5000));
--- a/node/router/src/health.ts
+++ b/node/router/src/health.ts
@@ -2,18 +2,18 @@
 import type {NodeState} from './node-state.ts';
 
 /**
-Knows the state of the node and keeps in touch with a few neighbours.
+Tracks the state of the node, and checks the links to a few neighbours.
 */
 export type Health = {
 	readonly start: () => void;
 	readonly state: () => NodeState;
 	readonly markDraining: () => void;
 	/**
-	Called when the grace time of a drain is over.
+	Refuses new requests; called when the grace period of a drain ends.
 	*/
 	readonly refuseNew: () => void;
 	/**
-	Why new requests are refused at the moment; `undefined` when they are not.
+	The error with which new requests are refused; `undefined` when they are accepted.
 	*/
 	readonly refusal: () => ValvesaddleError | undefined;
 	readonly close: () => void;
--- a/node/router/src/node-state.ts
+++ b/node/router/src/node-state.ts
@@ -1,9 +1,9 @@
 /**
  State of a node.
 
- - `starting`: has no configuration yet and does not know whether there is one.
- - `ready`: takes requests.
+ - `starting`: has no configuration yet, and has not learned whether one exists.
+ - `ready`: accepts requests.
  - `isolated`: reaches neither the key-value service nor any other node; refuses new requests.
- - `draining`: finishes what is open; refuses new requests after the grace time.
+ - `draining`: finishes open requests; refuses new ones after the grace period.
  */
 export type NodeState = 'starting' | 'ready' | 'isolated' | 'draining';
--- a/node/router/src/router-options.ts
+++ b/node/router/src/router-options.ts
@@ -6,7 +6,7 @@
 export type RouterOptions = {
 	readonly settings: Settings;
 	/**
-	Called when a drain that an operator asked for has ended.
+	Called when a drain that an operator requested has ended.
 	*/
 	readonly onDrained?: () => void;
 };
--- a/node/router/src/router.ts
+++ b/node/router/src/router.ts
@@ -8,20 +8,20 @@
 */
 export type Router = {
 	/**
-	Starts everything; resolves once the node listens.
+	Starts all components; resolves when the node listens.
 	*/
 	readonly start: () => Promise<RouterAddresses>;
 	readonly status: () => NodeStatus;
 	/**
-	Ids of the requests whose answers are under way.
+	Ids of the requests whose answers are not complete.
 	*/
 	readonly openRequestIds: () => readonly string[];
 	/**
-	Graceful shutdown: resolves when the last open request has ended and everything is closed.
+	Graceful shutdown; resolves when the last open request has ended and all components are closed.
 	*/
 	readonly drain: () => Promise<void>;
 	/**
-	Hard stop.
+	Immediate shutdown, which aborts open requests.
 	*/
 	readonly close: () => Promise<void>;
 	readonly metrics: Metrics;
--- a/node/router/test/at-most-once.test.ts
+++ b/node/router/test/at-most-once.test.ts
@@ -20,7 +20,7 @@
 	return fleet.service.runs().get(JSON.stringify(body)) ?? 0;
 }
 
-test('callers that send the same key through all nodes at once get one permit, all the same one', async t => {
+test('concurrent calls with the same key through all nodes run once and get the same reply', async t => {
 	const fleet = await startFleet({nodes: 3, engines: [{}]});
 	t.teardown(fleet.close);
 	fleet.service.setDelay(20);
@@ -29,7 +29,7 @@
 	t.same(results.map(({status, text}) => [status, text]), results.map(() => [200, results[0]!.text]));
 });
 
-test('a caller that comes back later through another node gets the finished answer', async t => {
+test('a retry through another node gets the stored answer', async t => {
 	const fleet = await startFleet({nodes: 2, engines: [{}]});
 	t.teardown(fleet.close);
 	const first = await issue(fleet, 0, 'permit-1');
@@ -38,7 +38,7 @@
 	t.equal(countRuns(fleet), 1);
 });
 
-test('a key that stands for another request is refused', async t => {
+test('a key that was used for another request is refused', async t => {
 	const fleet = await startFleet({nodes: 2, engines: [{}]});
 	t.teardown(fleet.close);
 	await issue(fleet, 0, 'permit-1');
@@ -46,7 +46,7 @@
 	t.match(other, {status: 422, json: {error: {code: 'ERR_VALVESADDLE_IDEMPOTENCY_KEY_REUSED', ran: 'no'}}});
 });
 
-test('a service that breaks off after its effect is called once, and the caller is told that it may have run', async t => {
+test('a service that disconnects after its effect is called once, and the caller gets an error that it may have run', async t => {
 	const fleet = await startFleet({nodes: 2, engines: [{}]});
 	t.teardown(fleet.close);
 	fleet.service.setFault('drop-after');
@@ -56,7 +56,7 @@
 	t.equal(countRuns(fleet), 1);
 });
 
-test('the node that holds a claim dies: a caller that comes back is told that it may have run, and it does not run again', async t => {
+test('a retry after the failure of the node that holds the claim gets an error that it may have run, and does not run again', async t => {
 	const fleet = await startFleet({nodes: 3, engines: [{}]});
 	t.teardown(fleet.close);
 	await issue(fleet, 0, 'permit-1');
@@ -65,7 +65,7 @@
 	t.equal(countRuns(fleet), 1);
 });
 
-test('a service that surely did not run a request leaves the key free', async t => {
+test('a request that the service did not run can be retried with the same key', async t => {
 	const fleet = await startFleet({nodes: 2, engines: [{}]});
 	t.teardown(fleet.close);
 	fleet.service.setFault('refuse');
@@ -73,18 +73,18 @@
 	t.match(refused.json, {error: {ran: 'no'}});
 	t.equal(countRuns(fleet), 0);
 	fleet.service.setFault(undefined);
-	let again = await issue(fleet, 1, 'permit-1');
-	while (again.status === 503) {
-		// The endpoint was ejected for its refusals; it comes back after a probe.
-		// eslint-disable-next-line no-await-in-loop -- one try after the other
-		again = await issue(fleet, 1, 'permit-1');
+	let retried = await issue(fleet, 1, 'permit-1');
+	while (retried.status === 503) {
+		// The endpoint is ejected for its refusals until a probe succeeds.
+		// eslint-disable-next-line no-await-in-loop -- one attempt after the other
+		retried = await issue(fleet, 1, 'permit-1');
 	}
 
-	t.equal(again.status, 200);
+	t.equal(retried.status, 200);
 	t.equal(countRuns(fleet), 1);
 });
 
-test('while the key-value service is down nothing that may run only once is sent, and all else is served', async t => {
+test('while the key-value service is down, calls that may run only once are refused and all others are served', async t => {
 	const fleet = await startFleet({nodes: 2, engines: [{stepMs: 1}]});
 	t.teardown(fleet.close);
 	fleet.kv.setFault('refuse');
@@ -96,7 +96,7 @@
 	t.equal(countRuns(fleet), 1);
 });
 
-test('a chat completion with a key runs once and is streamed to each caller from its start', async t => {
+test('a chat completion with a key runs once and is streamed to each caller from the start', async t => {
 	const fleet = await startFleet({nodes: 2, engines: [{stepMs: 3}]});
 	t.teardown(fleet.close);
 	const results = await Promise.all([0, 1, 0, 1].map(async node => callNode(fleet.nodes[node]!.callers, '/v1/chat/completions', {body: createChat(30, true), headers: {'idempotency-key': 'draft-1'}})));
@@ -104,7 +104,7 @@
 	t.equal(fleet.engines[0]!.counts().requests, 1);
 });
 
-test('a keyed answer breaks off mid-way: it is not run again, and the caller is told', async t => {
+test('a chat completion with a key that breaks off is not run again, and the caller gets an error', async t => {
 	const fleet = await startFleet({nodes: 1, engines: [{stepMs: 3}, {stepMs: 3}]});
 	t.teardown(fleet.close);
 	const answer = callNode(fleet.nodes[0]!.callers, '/v1/chat/completions', {body: createChat(60), headers: {'idempotency-key': 'draft-1'}});
--- a/node/router/test/configuration.test.ts
+++ b/node/router/test/configuration.test.ts
@@ -27,7 +27,7 @@
 	}
 }
 
-test('of two operators at two nodes one is accepted and one gets a conflict', async t => {
+test('of two concurrent changes at two nodes, one is accepted and one gets a conflict', async t => {
 	const fleet = await startFleet({nodes: 2, engines: [{}]});
 	t.teardown(fleet.close);
 	const {configuration} = await connect(fleet, 0).getConfiguration({});
@@ -38,7 +38,7 @@
 	await waitUntil(() => getRevisions(fleet).every(revision => revision === 2));
 });
 
-test('a dry run names the differences and changes nothing', async t => {
+test('a dry run lists the differences and changes nothing', async t => {
 	const fleet = await startFleet({nodes: 1, engines: [{}]});
 	t.teardown(fleet.close);
 	const {configuration} = await connect(fleet, 0).getConfiguration({});
@@ -50,14 +50,14 @@
 	t.same(getRevisions(fleet), [1]);
 });
 
-test('an invalid configuration is rejected whole, with every fault named', async t => {
+test('an invalid configuration is rejected as a whole, with all errors listed', async t => {
 	const fleet = await startFleet({nodes: 1, engines: [{}]});
 	t.teardown(fleet.close);
 	const {configuration} = await connect(fleet, 0).getConfiguration({});
 	configuration!.pools = [];
 	try {
 		await connect(fleet, 0).applyConfiguration({changeId: 'bad', expectedRevision: 1, configuration: configuration!});
-		t.fail('was accepted');
+		t.fail('the configuration was accepted');
 	} catch (error) {
 		t.match(ConnectError.from(error), {code: Code.InvalidArgument, rawMessage: /unknown pool "drafting"[\s\S]*Hint: /v});
 	}
@@ -65,14 +65,14 @@
 	t.same(getRevisions(fleet), [1]);
 });
 
-const access: ReadonlyArray<readonly [string, string, Code | undefined]> = [
+const accessCases: ReadonlyArray<readonly [string, string, Code | undefined]> = [
 	['an editor', fleetKeys.editor, undefined],
 	['a viewer', fleetKeys.viewer, Code.PermissionDenied],
-	['a stranger', 'wrong', Code.Unauthenticated],
+	['an unknown operator', 'wrong', Code.Unauthenticated],
 ];
 
-for (const [who, token, code] of access) {
-	test(`${who} who applies a change is ${code === undefined ? 'let in' : 'refused'}`, async t => {
+for (const [operator, token, code] of accessCases) {
+	test(`${operator} who applies a change is ${code === undefined ? 'accepted' : 'refused'}`, async t => {
 		const fleet = await startFleet({nodes: 1, engines: [{}]});
 		t.teardown(fleet.close);
 		const {configuration} = await connect(fleet, 0, fleetKeys.viewer).getConfiguration({});
@@ -80,43 +80,43 @@
 	});
 }
 
-test('a node that is cut from the key-value service learns of a change from its peers', async t => {
+test('a node that cannot reach the key-value service gets a change from its peers', async t => {
 	const fleet = await startFleet({nodes: 3, engines: [{}]});
 	t.teardown(fleet.close);
 	const {configuration} = await connect(fleet, 0).getConfiguration({});
-	// The reply to the write goes out, then the service is down for all: only node 1 knows of the change.
+	// The service fails for all nodes after the reply, so that only the first node has the change.
 	await connect(fleet, 0).applyConfiguration({changeId: 'two', expectedRevision: 1, configuration: configuration!});
 	fleet.kv.setFault('refuse');
 	await waitUntil(() => getRevisions(fleet).every(revision => revision === 2));
 	t.same(getRevisions(fleet), [2, 2, 2]);
 });
 
-test('a node that starts while the key-value service is down takes the newest configuration from its peers and serves', async t => {
+test('a node that starts while the key-value service is down gets the latest configuration from its peers and serves', async t => {
 	const fleet = await startFleet({nodes: 2, engines: [{}]});
 	t.teardown(fleet.close);
 	await fleet.apply(configuration => configuration);
 	fleet.kv.setFault('refuse');
-	const fresh = await fleet.addNode();
-	await waitUntil(() => fresh.router.status().state === 'ready');
-	t.equal(fresh.router.status().revision, 2);
-	t.equal((await callNode(fresh.callers, '/v1/chat/completions', {body: createChat(3)})).status, 200);
+	const added = await fleet.addNode();
+	await waitUntil(() => added.router.status().state === 'ready');
+	t.equal(added.router.status().revision, 2);
+	t.equal((await callNode(added.callers, '/v1/chat/completions', {body: createChat(3)})).status, 200);
 });
 
-test('a node that starts alone while the key-value service is down serves only once it knows the configuration', async t => {
+test('a node that starts without peers while the key-value service is down serves only after it reads the configuration', async t => {
 	const fleet = await startFleet({nodes: 1, engines: [{}]});
 	t.teardown(fleet.close);
 	fleet.kv.setFault('refuse');
 	await fleet.nodes[0]!.router.close();
 	fleet.vmList.set([]);
-	const fresh = await fleet.addNode();
-	t.match(await callNode(fresh.callers, '/v1/chat/completions', {body: createChat(3)}), {status: 401});
-	t.equal((await callNode(fresh.callers, '/readyz')).status, 503);
+	const added = await fleet.addNode();
+	t.match(await callNode(added.callers, '/v1/chat/completions', {body: createChat(3)}), {status: 401});
+	t.equal((await callNode(added.callers, '/readyz')).status, 503);
 	fleet.kv.setFault(undefined);
-	await waitUntil(async () => (await callNode(fresh.callers, '/readyz')).status === 200);
-	t.equal((await callNode(fresh.callers, '/v1/chat/completions', {body: createChat(3)})).status, 200);
+	await waitUntil(async () => (await callNode(added.callers, '/readyz')).status === 200);
+	t.equal((await callNode(added.callers, '/v1/chat/completions', {body: createChat(3)})).status, 200);
 });
 
-test('an outage of the key-value service does not stop requests, and changes go on after it', async t => {
+test('requests are served during an outage of the key-value service, and changes are accepted after it', async t => {
 	const fleet = await startFleet({nodes: 2, engines: [{}]});
 	t.teardown(fleet.close);
 	fleet.kv.setFault('freeze');
@@ -130,7 +130,7 @@
 	await waitUntil(() => getRevisions(fleet).every(revision => revision === 2));
 });
 
-test('a node that reaches nobody refuses new requests until it is back in touch', async t => {
+test('an isolated node refuses new requests until it is connected again', async t => {
 	const fleet = await startFleet({nodes: 2, engines: [{}], settings: {peer: {gossip_ms: 30}}});
 	t.teardown(fleet.close);
 	const [first, second] = fleet.nodes;
@@ -143,7 +143,7 @@
 	t.equal((await callNode(first!.callers, '/v1/chat/completions', {body: createChat(3)})).status, 200);
 });
 
-test('an earlier revision can be read and applied again as a new one', async t => {
+test('an earlier revision can be read and applied as a new one', async t => {
 	const fleet = await startFleet({nodes: 1, engines: [{}]});
 	t.teardown(fleet.close);
 	await fleet.apply(configuration => ({...configuration, endpoints: configuration.endpoints.slice(1)}));
--- a/node/router/test/expected-answer.ts
+++ b/node/router/test/expected-answer.ts
@@ -1,7 +1,7 @@
 import {createToken} from '@valvesaddle/fake-engine';
 
 /**
- The whole answer of the stand-in engines with so many tokens.
+ The complete answer of a fake engine with the given number of tokens.
 
  @example
  getExpectedAnswer(2); // 't0 t1 '
--- a/node/router/test/failures.test.ts
+++ b/node/router/test/failures.test.ts
@@ -20,7 +20,7 @@
 	await waitUntil(() => fleet.engines.reduce((sum, engine) => sum + engine.counts().tokens, 0) >= tokens);
 }
 
-test('an engine that crashes mid-answer loses no token and doubles none: the answer goes on elsewhere', async t => {
+test('an answer whose engine crashes continues on another one without lost or repeated tokens', async t => {
 	const fleet = await startFleet({nodes: 2, engines: [{stepMs: 3}, {stepMs: 3}]});
 	t.teardown(fleet.close);
 	const answer = callNode(fleet.nodes[0]!.callers, '/v1/chat/completions', {body: createChat(60, true)});
@@ -33,7 +33,7 @@
 
 const midAnswerFaults = ['truncate', 'garbage', 'freeze', 'fail', 'refuse'] as const;
 for (const fault of midAnswerFaults) {
-	test(`an engine with the fault "${fault}" costs the caller nothing`, async t => {
+	test(`callers get complete answers while an engine has the fault "${fault}"`, async t => {
 		const fleet = await startFleet({nodes: 1, engines: [{stepMs: 2}, {stepMs: 2}], settings: {limits: {pause_ms: 300, first_token_ms: 300}}});
 		t.teardown(fleet.close);
 		fleet.engines[0]!.setFault(fault);
@@ -42,7 +42,7 @@
 	});
 }
 
-test('an engine that asked for a pause gets no requests until it is over', async t => {
+test('an engine that requested a cooldown gets no requests until it ends', async t => {
 	const fleet = await startFleet({nodes: 2, engines: [{stepMs: 2}, {stepMs: 2}]});
 	t.teardown(fleet.close);
 	const callAll = async () => Promise.all(Array.from({length: 8}, async (_value, call) => callNode(fleet.nodes[call % 2]!.callers, '/v1/chat/completions', {body: createChat(4)})));
@@ -56,7 +56,7 @@
 	t.equal(fleet.engines[0]!.counts().refused, refused);
 });
 
-test('an engine that freezes before its first token holds urgent requests up only until their limit', async t => {
+test('an engine that freezes before its first token delays urgent requests only until the latency objective of their class', async t => {
 	const fleet = await startFleet({
 		nodes: 1,
 		engines: [{stepMs: 2}, {stepMs: 2}],
@@ -69,36 +69,36 @@
 	t.ok(fleet.nodes[0]!.router.metrics.total('attempts.failed') > 0);
 });
 
-test('the dispatcher\'s node dies: no stream is cut, waiting requests keep waiting and are served', async t => {
+test('a failure of the dispatcher\'s node breaks no stream, and queued requests are served', async t => {
 	const fleet = await startFleet({
 		nodes: 3, engines: [{stepMs: 3}],
 		configure: configuration => ({...configuration, endpoints: configuration.endpoints.map(endpoint => ({...endpoint, initialLimit: 1}))}),
 	});
 	t.teardown(fleet.close);
 	await callNode(fleet.nodes[0]!.callers, '/v1/chat/completions', {body: createChat(1)});
-	const dispatching = findDispatcherNode(fleet)!;
-	const entry = fleet.nodes.find(node => node !== dispatching)!;
+	const dispatcherNode = findDispatcherNode(fleet)!;
+	const entry = fleet.nodes.find(node => node !== dispatcherNode)!;
 	const answers = [40, 41, 42].map(async tokens => callNode(entry.callers, '/v1/chat/completions', {body: createChat(tokens)}));
-	await waitUntil(() => dispatching.router.status().pools.some(({waiting}) => waiting === 2));
-	await dispatching.router.close();
+	await waitUntil(() => dispatcherNode.router.status().pools.some(({waiting}) => waiting === 2));
+	await dispatcherNode.router.close();
 	t.same((await Promise.all(answers)).map(result => getContent(result)), [40, 41, 42].map(tokens => getExpectedAnswer(tokens)));
 });
 
-test('a caller that loses its connection goes on where it was, through another node', async t => {
+test('a caller that loses its connection resumes the answer through another node', async t => {
 	const fleet = await startFleet({nodes: 2, engines: [{stepMs: 3}], settings: {limits: {abandon_ms: 5000}}});
 	t.teardown(fleet.close);
 	const abort = new AbortController();
-	const broken = callNode(fleet.nodes[0]!.callers, '/v1/chat/completions', {body: createChat(50, true), signal: abort.signal});
+	const aborted = callNode(fleet.nodes[0]!.callers, '/v1/chat/completions', {body: createChat(50, true), signal: abort.signal});
 	await waitForTokens(fleet, 10);
 	const requestId = fleet.nodes[0]!.router.status().openRequests === 1 ? await findRequestId(fleet) : '';
 	abort.abort();
-	await t.rejects(broken);
-	const rest = await callNode(fleet.nodes[1]!.callers, `/v1/requests/${requestId}`, {headers: {'last-event-id': `${requestId}:7`}});
-	t.equal(getContent(rest), getExpectedAnswer(50).split(' ').slice(7).join(' '));
+	await t.rejects(aborted);
+	const remaining = await callNode(fleet.nodes[1]!.callers, `/v1/requests/${requestId}`, {headers: {'last-event-id': `${requestId}:7`}});
+	t.equal(getContent(remaining), getExpectedAnswer(50).split(' ').slice(7).join(' '));
 	for (const node of fleet.nodes) {
 		// eslint-disable-next-line no-await-in-loop -- one node after the other
-		const stranger = await callNode(node.callers, `/v1/requests/${requestId}`, {key: fleetKeys.otherCaller});
-		t.match(stranger, {status: 404, json: {error: {code: 'ERR_VALVESADDLE_UNKNOWN_REQUEST'}}}, node.id);
+		const refused = await callNode(node.callers, `/v1/requests/${requestId}`, {key: fleetKeys.otherCaller});
+		t.match(refused, {status: 404, json: {error: {code: 'ERR_VALVESADDLE_UNKNOWN_REQUEST'}}}, node.id);
 	}
 });
 
@@ -111,7 +111,7 @@
 	return requestId;
 }
 
-test('a node that dies mid-answer: its caller goes on through another node with the answer so far', async t => {
+test('a caller whose node fails during an answer continues it through another node', async t => {
 	const fleet = await startFleet({nodes: 2, engines: [{stepMs: 3}, {stepMs: 3}]});
 	t.teardown(fleet.close);
 	const chat = createChat(60, true);
@@ -129,69 +129,69 @@
 
 		t.fail('the connection did not break');
 	} catch {
-		// The connection broke, as it does when a process is killed.
+		// The connection breaks as when the process is killed.
 	}
 
-	const soFar = getContent({
+	const partialAnswer = getContent({
 		status: 200, headers: {}, text: received.slice(0, received.lastIndexOf('\n\n')), json: undefined,
 	});
-	t.match(getExpectedAnswer(60), soFar);
-	const rest = await callNode(fleet.nodes[1]!.callers, '/v1/chat/completions', {
+	t.match(getExpectedAnswer(60), partialAnswer);
+	const remaining = await callNode(fleet.nodes[1]!.callers, '/v1/chat/completions', {
 		body: {
 			...chat,
-			max_tokens: 60 - (soFar.split(' ').length - 1),
-			messages: [...chat.messages, {role: 'assistant', content: soFar}],
+			max_tokens: 60 - (partialAnswer.split(' ').length - 1),
+			messages: [...chat.messages, {role: 'assistant', content: partialAnswer}],
 			continue_final_message: true,
 			add_generation_prompt: false,
 		},
 	});
-	t.equal(soFar + getContent(rest), getExpectedAnswer(60));
+	t.equal(partialAnswer + getContent(remaining), getExpectedAnswer(60));
 	await waitUntil(() => fleet.engines.every(engine => engine.load() === 0));
 });
 
-test('an answer that its caller left for good is cancelled at the engine', async t => {
+test('an answer is cancelled at the engine when its caller does not reconnect', async t => {
 	const fleet = await startFleet({nodes: 1, engines: [{stepMs: 3}], settings: {limits: {abandon_ms: 50}}});
 	t.teardown(fleet.close);
 	const abort = new AbortController();
-	const broken = callNode(fleet.nodes[0]!.callers, '/v1/chat/completions', {body: createChat(5000, true), signal: abort.signal});
+	const aborted = callNode(fleet.nodes[0]!.callers, '/v1/chat/completions', {body: createChat(5000, true), signal: abort.signal});
 	await waitForTokens(fleet, 3);
 	abort.abort();
-	await t.rejects(broken);
+	await t.rejects(aborted);
 	await waitUntil(() => fleet.engines[0]!.load() === 0);
 	t.ok(fleet.engines[0]!.counts().cancelledTokens < 5000);
 });
 
-test('a graceful shutdown of a node cuts off no request, and its duties move', async t => {
+test('a graceful shutdown of a node interrupts no request, and its dispatcher moves to another node', async t => {
 	const fleet = await startFleet({nodes: 3, engines: [{stepMs: 3}, {stepMs: 3}]});
 	t.teardown(fleet.close);
 	const answers = fleet.nodes.flatMap(node => [30, 60].map(async tokens => callNode(node.callers, '/v1/chat/completions', {body: createChat(tokens)})));
 	await waitForTokens(fleet, 20);
-	const leaving = findDispatcherNode(fleet)!;
-	await leaving.router.drain();
+	const drained = findDispatcherNode(fleet)!;
+	await drained.router.drain();
 	const contents = (await Promise.all(answers)).map(result => getContent(result));
 	t.same(contents, fleet.nodes.flatMap(() => [getExpectedAnswer(30), getExpectedAnswer(60)]));
-	await t.rejects(callNode(leaving.callers, '/healthz'));
-	const entry = fleet.nodes.find(node => node !== leaving)!;
+	await t.rejects(callNode(drained.callers, '/healthz'));
+	const entry = fleet.nodes.find(node => node !== drained)!;
 	t.equal((await callNode(entry.callers, '/v1/chat/completions', {body: createChat(5)})).status, 200);
 });
 
-test('an endpoint that says it is leaving keeps its open answers and gets no new ones', async t => {
+test('a draining endpoint finishes its open answers and gets no new requests', async t => {
 	const fleet = await startFleet({nodes: 2, engines: [{stepMs: 3}, {stepMs: 3}]});
 	t.teardown(fleet.close);
 	const open = Array.from({length: 6}, async () => callNode(fleet.nodes[0]!.callers, '/v1/chat/completions', {body: createChat(80)}));
 	await waitUntil(() => fleet.engines.every(engine => engine.load() > 0));
-	const leaving = fleet.engines[0]!;
+	const draining = fleet.engines[0]!;
 	await fleet.apply(configuration => ({
-		...configuration, endpoints: configuration.endpoints.map(endpoint => ({...endpoint, leaving: endpoint.leaving || endpoint.url === leaving.url})),
+		...configuration, endpoints: configuration.endpoints.map(endpoint => ({...endpoint, leaving: endpoint.leaving || endpoint.url === draining.url})),
 	}));
-	const before = leaving.counts().requests;
-	const fresh = await Promise.all(Array.from({length: 10}, async () => callNode(fleet.nodes[1]!.callers, '/v1/chat/completions', {body: createChat(5)})));
-	t.ok(fresh.every(({status}) => status === 200));
-	t.equal(leaving.counts().requests, before);
+	const before = draining.counts().requests;
+	const results = await Promise.all(Array.from({length: 10}, async () => callNode(fleet.nodes[1]!.callers, '/v1/chat/completions', {body: createChat(5)})));
+	t.ok(results.every(({status}) => status === 200));
+	t.equal(draining.counts().requests, before);
 	t.same((await Promise.all(open)).map(result => getContent(result)), Array.from({length: 6}, () => getExpectedAnswer(80)));
 });
 
-test('a pool is split over more dispatchers while answers are under way, and none is cut off', async t => {
+test('adding dispatchers to a pool interrupts no open answer', async t => {
 	const fleet = await startFleet({nodes: 3, engines: Array.from({length: 6}, () => ({stepMs: 3}))});
 	t.teardown(fleet.close);
 	const call = async (tokens: number) => callNode(fleet.nodes[tokens % 3]!.callers, '/v1/chat/completions', {body: createChat(tokens)});
@@ -201,12 +201,12 @@
 	const after = Array.from({length: 30}, async (_, index) => call(10 + index));
 	t.same((await Promise.all(after)).map(result => getContent(result)), Array.from({length: 30}, (_, index) => getExpectedAnswer(10 + index)));
 	t.same((await Promise.all(before)).map(result => getContent(result)), Array.from({length: 12}, (_, index) => getExpectedAnswer(80 + index)));
-	const dispatching = fleet.nodes.flatMap(({router}) => router.status().pools.filter(({pool}) => pool === 'drafting'));
-	t.equal(dispatching.length, 3);
-	t.equal(dispatching.flatMap(({endpoints}) => endpoints).length, 6);
+	const shards = fleet.nodes.flatMap(({router}) => router.status().pools.filter(({pool}) => pool === 'drafting'));
+	t.equal(shards.length, 3);
+	t.equal(shards.flatMap(({endpoints}) => endpoints).length, 6);
 });
 
-test('a burst over capacity is refused honestly, urgent work is served, and nothing refused had run', async t => {
+test('a burst over capacity serves urgent requests, and refuses others without running them', async t => {
 	const fleet = await startFleet({
 		nodes: 2, engines: [{stepMs: 4, batch: 4}],
 		configure: configuration => ({
--- a/node/router/test/get-content.ts
+++ b/node/router/test/get-content.ts
@@ -9,7 +9,7 @@
 };
 
 /**
- The text of an answer, whole or streamed; empty when there is none.
+ The text of an answer, streamed or not; empty when there is none.
 
  @example
  getContent(await callNode(address, '/v1/chat/completions', {body})); // 't0 t1 '
--- a/node/router/test/long-answers.test.ts
+++ b/node/router/test/long-answers.test.ts
@@ -1,8 +1,6 @@
 /*
-An answer is read on another node by its holder's link, on which urgent calls go as well. All that was left of the answer
-went in one message: calls behind it waited until it was through, and one of more than 2 MiB broke the link, so that
-every call on it failed, the node was suspected and its waiting requests were dropped; the caller that read again did it
-once more.
+Guards against a long answer being sent to another node in one message, which delays the calls behind it and, above 2 MiB,
+breaks the link.
 */
 import {setTimeout as delay} from 'node:timers/promises';
 import {test, type Test} from 'tap';
@@ -17,7 +15,7 @@
 const pageBytes = 64 * 1024;
 
 /**
-An answer of so many parts of about a kilobyte, each with its number; every second character takes three bytes.
+Numbered parts of an answer, about a kilobyte each; every second character takes three bytes.
 */
 function createParts(count: number): readonly string[] {
 	return Array.from({length: count}, (_, index) => JSON.stringify({content: `${index} ${'x→'.repeat(250)}`}));
@@ -27,7 +25,7 @@
 	const answers = createAnswerStore({keepMs: 60_000, keepSize: 100_000_000});
 	const log = createAnswerLog({
 		requestId, account, graceMs: 60_000, onAbandoned() {
-			// Nobody leaves.
+			// Never abandoned.
 		},
 	});
 	answers.add(log);
@@ -64,11 +62,11 @@
 	};
 }
 
-test('an answer that is longer than a message may be is read whole, and costs no other call its link', async t => {
+test('an answer longer than the maximum message is read completely, and breaks no other call on the link', async t => {
 	const parts = createParts(4000);
 	const {network, log, lost} = await startPair(t, parts);
 	log.finish({kind: 'complete', finishReason: 'stop', tokens: parts.length});
-	const waiting = network.call('b', 'dispatch.acquire', {});
+	const acquiring = network.call('b', 'dispatch.acquire', {});
 	const source = createRemoteAnswer({
 		network, holder: 'b', requestId, account,
 	});
@@ -84,12 +82,12 @@
 	t.same(page.end, {kind: 'complete', finishReason: 'stop', tokens: parts.length});
 	t.equal(read.length, parts.length);
 	t.ok(read.every((part, index) => part === parts[index]));
-	const acquired = await waiting;
+	const acquired = await acquiring;
 	t.ok(acquired.isOk(), acquired.isErr() ? acquired.error.message : '');
 	t.same(lost, []);
 });
 
-test('a page takes no more than 64 KiB, and says the end only with the last part', async t => {
+test('a page has at most 64 KiB, and only the last one has the end', async t => {
 	const parts = createParts(200);
 	const {log, handlers} = await startPair(t, parts);
 	log.finish({kind: 'complete', finishReason: 'stop', tokens: 200});
@@ -110,7 +108,7 @@
 	t.ok(counts.length < 6, `${counts.length} pages, each nearly full`);
 });
 
-test('a part that is longer than a page is sent by itself, and an answer without parts has its end at once', async t => {
+test('a part longer than a page is sent in a page of its own, and a read after the last part returns the end', async t => {
 	const long = JSON.stringify({content: 'x'.repeat(100_000)});
 	const {log, handlers} = await startPair(t, ['1', long, '2']);
 	const pages = [];
--- a/node/router/test/path.test.ts
+++ b/node/router/test/path.test.ts
@@ -9,22 +9,22 @@
 import {getExpectedAnswer} from './expected-answer.ts';
 import {getContent} from './get-content.ts';
 
-test('a request through a node is granted by the dispatcher on another and streamed from the engine, with a span for each hop', async t => {
+test('a request is granted by a dispatcher on another node and streamed from the engine, with a span for each hop', async t => {
 	const fleet = await startFleet({nodes: 3, engines: [{stepMs: 2}, {stepMs: 2}]});
 	t.teardown(fleet.close);
 	await callNode(fleet.nodes[0]!.callers, '/v1/chat/completions', {body: createChat(3)});
-	const dispatching = fleet.nodes.find(({router}) => router.status().pools.some(({pool}) => pool === 'drafting'));
-	const entry = fleet.nodes.find(node => node !== dispatching)!;
+	const dispatcherNode = fleet.nodes.find(({router}) => router.status().pools.some(({pool}) => pool === 'drafting'));
+	const entry = fleet.nodes.find(node => node !== dispatcherNode)!;
 	const traceparent = `00-${'ab'.repeat(16)}-${'cd'.repeat(8)}-01`;
 	const result = await callNode(entry.callers, '/v1/chat/completions', {body: createChat(20, true), headers: {traceparent}});
 	t.equal(result.status, 200);
 	t.equal(getContent(result), getExpectedAnswer(20));
 	t.match(result.text, 'data: [DONE]');
 	const hops = fleet.nodes.flatMap(({id, router}) => router.tracing.finished().filter(({traceId}) => traceId === 'ab'.repeat(16)).map(({name}) => `${name}@${id}`));
-	t.same(hops.toSorted(), [`dispatch.queue@${dispatching?.id}`, `dispatch.wait@${entry.id}`, `endpoint@${entry.id}`, `request@${entry.id}`].toSorted());
+	t.same(hops.toSorted(), [`dispatch.queue@${dispatcherNode?.id}`, `dispatch.wait@${entry.id}`, `endpoint@${entry.id}`, `request@${entry.id}`].toSorted());
 });
 
-test('concurrent callers of all nodes each get their own complete answer', async t => {
+test('concurrent callers on all nodes each get their own complete answer', async t => {
 	const fleet = await startFleet({nodes: 3, engines: [{stepMs: 1}, {stepMs: 3}, {stepMs: 2}]});
 	t.teardown(fleet.close);
 	const answers = await Promise.all(Array.from({length: 60}, async (_, index) => {
@@ -32,17 +32,17 @@
 		const result = await callNode(node.callers, '/v1/chat/completions', {body: createChat(index + 1, index % 2 === 0)});
 		return getContent(result) === getExpectedAnswer(index + 1);
 	}));
-	t.same(answers.filter(isRight => !isRight), []);
+	t.same(answers.filter(isCorrect => !isCorrect), []);
 });
 
-test('plain services are called through the router and their reply passed on as it is', async t => {
+test('a call to a plain service is forwarded, and its reply is returned unchanged', async t => {
 	const fleet = await startFleet({nodes: 1, engines: [{}]});
 	t.teardown(fleet.close);
 	const result = await callNode(fleet.nodes[0]!.callers, '/v1/services/permits/issue?year=2026', {body: {truck: 'PB 1234'}, headers: {'idempotency-key': 'k1'}});
 	t.match(result, {status: 200, json: {number: 1, path: '/issue'}});
 });
 
-test('models are listed as bound, health is open, readiness is told', async t => {
+test('bound models are listed, and health and readiness need no key', async t => {
 	const fleet = await startFleet({nodes: 1, engines: [{}]});
 	t.teardown(fleet.close);
 	const {callers} = fleet.nodes[0]!;
@@ -91,7 +91,7 @@
 	},
 ];
 
-test('bad input gets a typed error that says "not run", and nothing is sent on', async t => {
+test('invalid input gets a typed error with `ran: no`, and nothing is forwarded', async t => {
 	const fleet = await startFleet({
 		nodes: 1, engines: [{}], settings: {limits: {body_bytes: 4096}},
 		configure: configuration => ({...configuration, bindings: configuration.bindings.filter(({account}) => account === 'sawmill')}),
@@ -107,7 +107,7 @@
 	t.equal(fleet.service.runs().size, 0);
 });
 
-test('a class header may lower the class but not raise it', async t => {
+test('a class header can lower the class but not raise it', async t => {
 	const fleet = await startFleet({
 		nodes: 1, engines: [{}],
 		configure: configuration => ({...configuration, bindings: [{account: 'sawmill', pool: 'drafting', classes: ['route', 'gate', 'estimate']}]}),
--- a/node/router/test/unanswered-calls.test.ts
+++ b/node/router/test/unanswered-calls.test.ts
@@ -1,6 +1,5 @@
 /*
-A node that is cut from the key-value service gets a newer configuration from a peer that tells of it. A peer that told
-of it and then never answered on a living link kept the node from asking any other one, for as long as the link lived.
+Guards against a peer that never answers on a live link keeping a node from reading a newer configuration from other peers.
 */
 import {setTimeout as delay} from 'node:timers/promises';
 import {errAsync, okAsync, ResultAsync} from 'neverthrow';
@@ -15,7 +14,7 @@
 import {createCatchUp} from '../src/create-catch-up.ts';
 import {createPeerRequester} from '../src/create-peer-requester.ts';
 
-const down = new ValvesaddleError('ERR_VALVESADDLE_KV_UNAVAILABLE', 'down');
+const unavailable = new ValvesaddleError('ERR_VALVESADDLE_KV_UNAVAILABLE', 'down');
 
 function createText(revision: number): string {
 	return formatRecord({
@@ -26,7 +25,7 @@
 function createFollower() {
 	return createConfigFollower({
 		store: {
-			watch: () => errAsync(down), read: () => errAsync(down), readRevision: () => errAsync(down), apply: () => errAsync(down),
+			watch: () => errAsync(unavailable), read: () => errAsync(unavailable), readRevision: () => errAsync(unavailable), apply: () => errAsync(unavailable),
 		},
 		watchMs: 100,
 		retryMs: 5,
@@ -37,55 +36,55 @@
 }
 
 /**
-A network with one peer that answers only when the test says so; the others have revision 8.
+A network with one peer that answers when the test calls `answer`; the others return revision 8.
 */
 function createNetwork() {
 	const calls: string[] = [];
-	const mute = Promise.withResolvers<string>();
+	const pendingAnswer = Promise.withResolvers<string>();
 	const network = {
 		call(node: string) {
 			calls.push(node);
-			return node === 'mute' ? ResultAsync.fromSafePromise(mute.promise) : okAsync(createText(8));
+			return node === 'silent' ? ResultAsync.fromSafePromise(pendingAnswer.promise) : okAsync(createText(8));
 		},
 	} as unknown as PeerNetwork;
-	return {network, calls, answer: mute.resolve};
+	return {network, calls, answer: pendingAnswer.resolve};
 }
 
-test('a peer that never answers for its configuration keeps no other from being asked', async t => {
+test('a peer that never answers does not keep others from being called', async t => {
 	const follower = createFollower();
 	const {network, calls, answer} = createNetwork();
 	const catchUp = createCatchUp({network, follower});
-	catchUp(8, 'mute');
+	catchUp(8, 'silent');
 	await waitUntil(() => calls.length === 1);
 	const startedAt = performance.now();
 	await waitUntil(() => {
-		catchUp(8, 'mute');
+		catchUp(8, 'silent');
 		catchUp(8, 'n2');
 		return follower.revision() === 8 || performance.now() - startedAt > 5000;
 	});
-	t.same(calls, ['mute', 'n2'], 'nobody is asked again while a question to it is open');
+	t.same(calls, ['silent', 'n2'], 'a peer with a pending call is not called again');
 	t.equal(follower.revision(), 8);
 	answer(createText(9));
 	await waitUntil(() => follower.revision() === 9);
-	catchUp(10, 'mute');
+	catchUp(10, 'silent');
 	await delay(400);
-	t.same(calls, ['mute', 'n2', 'mute'], 'who answered may be asked again');
+	t.same(calls, ['silent', 'n2', 'silent'], 'a peer that answered may be called again');
 });
 
-test('peers that never answer are left out when peers are asked anew', async t => {
+test('peers with a pending call are skipped by further requests', async t => {
 	const {network, calls, answer} = createNetwork();
-	const askPeers = createPeerRequester({network, listPeers: () => ['mute', 'n2', 'n2', 'n3', 'n4', 'n5'], revision: () => 1});
-	const [muteAnswer, ...others] = askPeers();
+	const requestConfiguration = createPeerRequester({network, listPeers: () => ['silent', 'n2', 'n2', 'n3', 'n4', 'n5'], revision: () => 1});
+	const [silentAnswer, ...others] = requestConfiguration();
 	t.same(await Promise.all(others), [createText(8), createText(8)]);
-	askPeers();
-	t.same(calls, ['mute', 'n2', 'n3', 'n2', 'n3', 'n4']);
+	requestConfiguration();
+	t.same(calls, ['silent', 'n2', 'n3', 'n2', 'n3', 'n4']);
 	answer(createText(9));
-	t.equal(await muteAnswer, createText(9));
-	askPeers();
-	t.same(calls.slice(6), ['mute', 'n2', 'n3']);
+	t.equal(await silentAnswer, createText(9));
+	requestConfiguration();
+	t.same(calls.slice(6), ['silent', 'n2', 'n3']);
 });
 
-test('a peer that cannot be reached is asked again', async t => {
+test('an unreachable peer is called again', async t => {
 	let calls = 0;
 	const network = {
 		call() {
@@ -93,8 +92,8 @@
 			return errAsync(new ValvesaddleError('ERR_VALVESADDLE_PEER_UNREACHABLE', 'broken'));
 		},
 	} as unknown as PeerNetwork;
-	const askPeers = createPeerRequester({network, listPeers: () => ['n2'], revision: () => 1});
-	t.same(await Promise.all(askPeers()), [undefined]);
-	t.same(await Promise.all(askPeers()), [undefined]);
+	const requestConfiguration = createPeerRequester({network, listPeers: () => ['n2'], revision: () => 1});
+	t.same(await Promise.all(requestConfiguration()), [undefined]);
+	t.same(await Promise.all(requestConfiguration()), [undefined]);
 	t.equal(calls, 2);
 });
