--- a/node/gateway/test/stale-configuration.test.ts
+++ b/node/gateway/test/stale-configuration.test.ts
@@ -64,7 +64,7 @@
 	await platform.open();
 	let stateCalls = 0;
 	const peer = createPeerNetwork({
-		node: 'z1', host: '127.0.0.1', port: 0, token: 'secret', findAddress: () => undefined, silenceMs: 10_000, isCompressed: false, metrics: createMetrics(),
+		node: 'z1', host: '127.0.0.1', port: 0, token: 'secret', findAddress: () => undefined, linkTimeoutMs: 10_000, isCompressed: false, metrics: createMetrics(),
 	});
 	const ignore = (): undefined => undefined;
 	const address = await peer.listen({
--- a/node/router/src/create-health.ts
+++ b/node/router/src/create-health.ts
@@ -5,19 +5,19 @@
 import type {NodeState} from './node-state.ts';
 
 /**
-Neighbours to keep in touch with; fixed ones, so that few links are open.
+Peers that a node checks every round, always the same ones so that few links are open.
 */
 const neighbourCount = 3;
 /**
-Rounds without any answer after which the node counts as isolated.
+Rounds without any response after which the node is isolated.
 */
-const isolatedRounds = 2;
+const isolationRounds = 2;
 const retryAfterMs = 1000;
 
 /**
- Creates the health of a node. Every round it tells its revision to its neighbours, which answer with a newer one; a
- node that neither a neighbour nor the key-value service answers takes no new requests, since it cannot learn of new
- configurations.
+ Creates the health of a node. Every round it sends its revision to its neighbours, which return a newer configuration if
+ they have one. A node that reaches neither a neighbour nor the key-value service refuses new requests, since its
+ configuration may be stale.
 
  @example
  const health = createHealth(options);
@@ -25,38 +25,38 @@
  */
 export function createHealth(options: HealthOptions): Health {
 	const {follower, store, membership, network, logger, node} = options;
-	let silentRounds = 0;
-	let drain: 'no' | 'grace' | 'refuse' = 'no';
+	let failedRounds = 0;
+	let drainPhase: 'no' | 'grace' | 'refuse' = 'no';
 	let timer: NodeJS.Timeout | undefined;
-	let logged: NodeState = 'starting';
+	let loggedState: NodeState = 'starting';
 
 	function getState(): NodeState {
-		if (drain !== 'no') {
+		if (drainPhase !== 'no') {
 			return 'draining';
 		}
 
-		if (silentRounds >= isolatedRounds) {
+		if (failedRounds >= isolationRounds) {
 			return 'isolated';
 		}
 
 		return follower.isInitialized() || follower.revision() > 0 ? 'ready' : 'starting';
 	}
 
-	function recordChange(): void {
+	function recordStateChange(): void {
 		const state = getState();
-		if (state === logged) {
+		if (state === loggedState) {
 			return;
 		}
 
-		logger.info({name: 'node-state', from: logged, to: state});
-		logged = state;
+		logger.info({name: 'node-state', from: loggedState, to: state});
+		loggedState = state;
 	}
 
 	function listNeighbours(): readonly string[] {
 		return rankOwners(`neighbours/${node}`, membership.others()).slice(0, neighbourCount);
 	}
 
-	async function wasHeardBy(neighbour: string): Promise<boolean> {
+	async function didRespond(neighbour: string): Promise<boolean> {
 		const result = await network.call(neighbour, 'configuration.compare', {revision: follower.revision()});
 		if (result.isErr()) {
 			membership.suspect(neighbour);
@@ -76,20 +76,20 @@
 	async function runRound(): Promise<void> {
 		const neighbours = listNeighbours();
 		if (neighbours.length === 0) {
-			silentRounds = 0;
+			failedRounds = 0;
 			return;
 		}
 
-		const answers = await Promise.all(neighbours.map(async neighbour => wasHeardBy(neighbour)));
-		const isHeard = answers.includes(true) || await canReadStore();
-		silentRounds = isHeard ? 0 : silentRounds + 1;
-		recordChange();
+		const responses = await Promise.all(neighbours.map(async neighbour => didRespond(neighbour)));
+		const isConnected = responses.includes(true) || await canReadStore();
+		failedRounds = isConnected ? 0 : failedRounds + 1;
+		recordStateChange();
 	}
 
 	const refusals: Readonly<Record<NodeState, () => ValvesaddleError | undefined>> = {
 		starting: () => new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'the node has no configuration yet', {retryAfterMs}),
-		isolated: () => new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'the node reaches no other node and no key-value service', {retryAfterMs}),
-		draining: () => drain === 'refuse' ? new ValvesaddleError('ERR_VALVESADDLE_DRAINING', 'the node is leaving', {retryAfterMs}) : undefined,
+		isolated: () => new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'the node can reach neither another node nor the key-value service', {retryAfterMs}),
+		draining: () => drainPhase === 'refuse' ? new ValvesaddleError('ERR_VALVESADDLE_DRAINING', 'the node is draining', {retryAfterMs}) : undefined,
 		ready: () => undefined,
 	};
 
@@ -99,15 +99,15 @@
 				void runRound();
 			}, options.gossipMs);
 			timer.unref();
-			follower.events.on('changed', recordChange);
+			follower.events.on('changed', recordStateChange);
 		},
 		state: getState,
 		markDraining() {
-			drain = 'grace';
-			recordChange();
+			drainPhase = 'grace';
+			recordStateChange();
 		},
 		refuseNew() {
-			drain = 'refuse';
+			drainPhase = 'refuse';
 		},
 		refusal: () => refusals[getState()](),
 		close() {
--- a/node/router/src/create-peer-handlers.ts
+++ b/node/router/src/create-peer-handlers.ts
@@ -1,5 +1,5 @@
 import type {AnswerStore} from '@valvesaddle/answers';
-import {claimRequestSchema, type ClaimClient} from '@valvesaddle/claims';
+import {claimQuestionSchema, type ClaimClient} from '@valvesaddle/claims';
 import type {ConfigFollower} from '@valvesaddle/config-follower';
 import {ValvesaddleError} from '@valvesaddle/error';
 import type {DispatchHost} from '@valvesaddle/host';
@@ -27,10 +27,10 @@
 	readonly catchUp: CatchUp;
 };
 
-const longestReadMs = 5000;
+const maximumReadMs = 5000;
 
 /**
- Creates the answers to all that peers ask of a node.
+ Creates the handlers of all methods that peers call on a node.
 
  @example
  await network.listen(createPeerHandlers(options));
@@ -53,18 +53,18 @@
 		'dispatch.register'(parameters) {
 			host.register(parse(registerRequestSchema, parameters));
 		},
-		'claims.claim': async parameters => claims.serve('claim', parse(claimRequestSchema, parameters)),
-		'claims.release': async parameters => claims.serve('release', parse(claimRequestSchema, parameters)),
-		'claims.find': async parameters => claims.serve('find', parse(claimRequestSchema, parameters)),
+		'claims.claim': async parameters => claims.serve('claim', parse(claimQuestionSchema, parameters)),
+		'claims.release': async parameters => claims.serve('release', parse(claimQuestionSchema, parameters)),
+		'claims.find': async parameters => claims.serve('find', parse(claimQuestionSchema, parameters)),
 		async 'answer.read'(parameters) {
 			const {requestId, account, offset} = parse(readRequestSchema, parameters);
 			const log = answers.find(requestId);
 			if (log?.account !== account) {
-				throw new ValvesaddleError('ERR_VALVESADDLE_UNKNOWN_REQUEST', `no answer is kept under ${requestId}`);
+				throw new ValvesaddleError('ERR_VALVESADDLE_UNKNOWN_REQUEST', `no answer is stored for request ${requestId}`);
 			}
 
-			// All that is left in one message held up urgent calls behind it, and over 2 MiB it broke the link.
-			return fitPage(await log.readWithin(offset, longestReadMs));
+			// A large message delays urgent calls behind it, and one over 2 MiB breaks the link.
+			return fitPage(await log.readWithin(offset, maximumReadMs));
 		},
 		'configuration.compare'(parameters, peer) {
 			const {revision} = parse(compareSchema, parameters);
--- a/peer/network/src/peer-link-options.ts
+++ b/peer/network/src/peer-link-options.ts
@@ -9,7 +9,10 @@
 	readonly node: string;
 	readonly socket: WebSocket;
 	readonly handlers: PeerHandlers;
-	readonly silenceMs: number;
+	/**
+	A link in use without a received message for this long is closed, in milliseconds.
+	*/
+	readonly linkTimeoutMs: number;
 	readonly metrics: Metrics;
 	readonly onClose: () => void;
 };
