--- a/node/router/src/create-peer-handlers.ts
+++ b/node/router/src/create-peer-handlers.ts
@@ -1,5 +1,5 @@
 import type {AnswerStore} from '@valvesaddle/answers';
-import {claimQuestionSchema, type ClaimClient} from '@valvesaddle/claims';
+import {claimRequestSchema, type ClaimClient} from '@valvesaddle/claims';
 import type {ConfigFollower} from '@valvesaddle/config-follower';
 import {ValvesaddleError} from '@valvesaddle/error';
 import type {DispatchHost} from '@valvesaddle/host';
@@ -53,9 +53,9 @@
 		'dispatch.register'(parameters) {
 			host.register(parse(registerRequestSchema, parameters));
 		},
-		'claims.claim': async parameters => claims.serve('claim', parse(claimQuestionSchema, parameters)),
-		'claims.release': async parameters => claims.serve('release', parse(claimQuestionSchema, parameters)),
-		'claims.find': async parameters => claims.serve('find', parse(claimQuestionSchema, parameters)),
+		'claims.claim': async parameters => claims.serve('claim', parse(claimRequestSchema, parameters)),
+		'claims.release': async parameters => claims.serve('release', parse(claimRequestSchema, parameters)),
+		'claims.find': async parameters => claims.serve('find', parse(claimRequestSchema, parameters)),
 		async 'answer.read'(parameters) {
 			const {requestId, account, offset} = parse(readRequestSchema, parameters);
 			const log = answers.find(requestId);
