--- a/caller/access/src/access-index.ts
+++ b/caller/access/src/access-index.ts
@@ -1,7 +1,7 @@
 import type {Result} from 'neverthrow';
 import type {ValvesaddleError} from '@valvesaddle/error';
 import type {ClientAccount} from '@valvesaddle/types';
-import type {AccessQuestion} from './access-question.ts';
+import type {AccessRequest} from './access-request.ts';
 import type {Access} from './access.ts';
 
 /**
@@ -15,9 +15,9 @@
 	/**
 	Pool and class for a request of an account.
 	*/
-	readonly resolve: (question: AccessQuestion) => Result<Access, ValvesaddleError>;
+	readonly resolve: (request: AccessRequest) => Result<Access, ValvesaddleError>;
 	/**
 	Models that an account is bound to.
 	*/
-	readonly models: (account: string) => readonly string[];
+	readonly listModels: (account: string) => readonly string[];
 };
--- a/caller/access/src/access-question.ts
+++ b/caller/access/src/access-request.ts
@@ -3,7 +3,7 @@
 /**
 What a request wants to use.
 */
-export type AccessQuestion = {
+export type AccessRequest = {
 	readonly account: string;
 	readonly kind: PoolKind;
 	readonly model: string;
--- a/caller/access/src/create-access-index.ts
+++ b/caller/access/src/create-access-index.ts
@@ -9,7 +9,7 @@
 } from '@valvesaddle/types';
 import type {Access} from './access.ts';
 import type {AccessIndex} from './access-index.ts';
-import type {AccessQuestion} from './access-question.ts';
+import type {AccessRequest} from './access-request.ts';
 import {hashKey} from './hash-key.ts';
 
 const bearerPattern = /^bearer (?<key>\S+)$/iv;
@@ -26,14 +26,14 @@
 	const classes = new Map(configuration.classes.map(requestClass => [requestClass.name, requestClass]));
 	const bindings = new Map(configuration.bindings.map(binding => [`${binding.account}:${binding.pool}`, binding]));
 
-	function findBound({account, kind, model, region}: AccessQuestion): Result<{readonly pool: Pool; readonly binding: Binding}, ValvesaddleError> {
-		const named = configuration.pools.filter(pool => pool.kind === kind && (pool.model === model || pool.name === model));
-		if (named.length === 0) {
+	function findBinding({account, kind, model, region}: AccessRequest): Result<{readonly pool: Pool; readonly binding: Binding}, ValvesaddleError> {
+		const candidates = configuration.pools.filter(pool => pool.kind === kind && (pool.model === model || pool.name === model));
+		if (candidates.length === 0) {
 			return err(new ValvesaddleError('ERR_VALVESADDLE_UNKNOWN_MODEL', `no ${kind} pool serves "${model}"`));
 		}
 
-		const near = named.toSorted((a, b) => Number(b.region === region) - Number(a.region === region));
-		for (const pool of near) {
+		const byRegion = candidates.toSorted((a, b) => Number(b.region === region) - Number(a.region === region));
+		for (const pool of byRegion) {
 			const binding = bindings.get(`${account}:${pool.name}`);
 			if (binding !== undefined) {
 				return ok({pool, binding});
@@ -46,9 +46,9 @@
 	function pickClass(binding: Binding, className: string | undefined): Result<RequestClass, ValvesaddleError> {
 		const [defaultName] = binding.classes;
 		const defaultClass = classes.get(defaultName ?? '');
-		const wanted = className === undefined ? defaultClass : classes.get(className);
-		const isAllowed = wanted !== undefined && defaultClass !== undefined && binding.classes.includes(wanted.name) && wanted.priority >= defaultClass.priority;
-		return isAllowed ? ok(wanted) : err(new ValvesaddleError('ERR_VALVESADDLE_CLASS_NOT_ALLOWED', `class "${className ?? ''}" is not allowed for client account "${binding.account}" on pool "${binding.pool}"`));
+		const requested = className === undefined ? defaultClass : classes.get(className);
+		const isAllowed = requested !== undefined && defaultClass !== undefined && binding.classes.includes(requested.name) && requested.priority >= defaultClass.priority;
+		return isAllowed ? ok(requested) : err(new ValvesaddleError('ERR_VALVESADDLE_CLASS_NOT_ALLOWED', `class "${className ?? ''}" is not allowed for client account "${binding.account}" on pool "${binding.pool}"`));
 	}
 
 	return {
@@ -57,7 +57,7 @@
 			const account = key === undefined ? undefined : accounts.get(hashKey(key));
 			return account === undefined ? err(new ValvesaddleError('ERR_VALVESADDLE_UNAUTHENTICATED', 'the API key is missing or unknown')) : ok(account);
 		},
-		resolve: question => findBound(question).andThen(({pool, binding}) => pickClass(binding, question.className).map((requestClass): Access => ({pool, requestClass}))),
-		models: account => configuration.pools.filter(({kind, name}) => kind === 'engine' && bindings.has(`${account}:${name}`)).map(({model}) => model),
+		resolve: request => findBinding(request).andThen(({pool, binding}) => pickClass(binding, request.className).map((requestClass): Access => ({pool, requestClass}))),
+		listModels: account => configuration.pools.filter(({kind, name}) => kind === 'engine' && bindings.has(`${account}:${name}`)).map(({model}) => model),
 	};
 }
--- a/caller/api/src/build-job-base.ts
+++ b/caller/api/src/build-job-base.ts
@@ -1,6 +1,6 @@
 import {hash, randomBytes} from 'node:crypto';
 import type {IncomingMessage} from 'node:http';
-import type {Access, AccessQuestion} from '@valvesaddle/access';
+import type {Access, AccessRequest} from '@valvesaddle/access';
 import {ValvesaddleError} from '@valvesaddle/error';
 import type {Job, JobClaim} from '@valvesaddle/execution';
 import type {Pool} from '@valvesaddle/types';
@@ -18,7 +18,7 @@
 */
 type JobBase = Access & Pick<Job, 'requestId' | 'account' | 'claim' | 'trace' | 'arrivedAt'>;
 
-type Asked = Pick<AccessQuestion, 'kind' | 'model'> & {
+type RequestedWork = Pick<AccessRequest, 'kind' | 'model'> & {
 	/**
 	What makes two requests the same, for a key that is used again.
 	*/
@@ -32,7 +32,7 @@
  @example
  buildJobBase(caller, {kind: 'engine', model: 'drafting', text}, {node, region, access}).requestId; // 'a1_5f…'
  */
-export function buildJobBase({request, account}: Caller, {kind, model, text}: Asked, options: JobOptions): JobBase {
+export function buildJobBase({request, account}: Caller, {kind, model, text}: RequestedWork, options: JobOptions): JobBase {
 	const access = options.access.resolve({
 		account: account.name, kind, model, region: options.region, className: getHeader(request, headerNames.className),
 	});
--- a/caller/api/src/caller-api.ts
+++ b/caller/api/src/caller-api.ts
@@ -13,5 +13,5 @@
 	/**
 	Stops to listen and breaks every open connection.
 	*/
-	readonly cut: () => void;
+	readonly closeConnections: () => void;
 };
--- a/caller/api/src/create-caller-api.ts
+++ b/caller/api/src/create-caller-api.ts
@@ -22,7 +22,7 @@
 import {writeStreamReply} from './write-stream-reply.ts';
 import {writeWholeReply} from './write-whole-reply.ts';
 
-const noRequest = '-';
+const noRequestId = '-';
 
 type Handler = (caller: Caller, response: ServerResponse) => Promise<void>;
 
@@ -30,7 +30,7 @@
 
 type JobBuilder = (caller: Caller, text: string, options: JobOptions) => JobPlan;
 
-type Write = (context: ReplyContext) => Promise<AnswerEnd | undefined>;
+type ReplyWriter = (context: ReplyContext) => Promise<AnswerEnd | undefined>;
 
 type Reply = {
 	readonly caller: Caller;
@@ -38,7 +38,7 @@
 	readonly source: AnswerSource;
 	readonly model: string;
 	readonly offset: number;
-	readonly write: Write;
+	readonly write: ReplyWriter;
 	readonly claim: JobClaim | undefined;
 };
 
@@ -64,7 +64,7 @@
 	function sendFailure(response: ServerResponse, error: unknown): void {
 		const end = toErrorEnd(error);
 		options.metrics.increment('callers.refused', 1, {code: end.code});
-		sendError(response, end, noRequest);
+		sendError(response, end, noRequestId);
 	}
 
 	/**
@@ -89,7 +89,7 @@
 		};
 	}
 
-	function checkTaken(account: ClientAccount): void {
+	function checkAdmission(account: ClientAccount): void {
 		const refusal = options.refusal();
 		if (refusal !== undefined) {
 			throw refusal;
@@ -105,23 +105,23 @@
 	*/
 	async function writeReply(reply: Reply): Promise<void> {
 		const {response, source, model, offset, write} = reply;
-		let isGone = false;
+		let isDisconnected = false;
 		source.attach();
 		response.once('close', () => {
-			isGone = true;
+			isDisconnected = true;
 			source.detach();
 		});
 		const held = await write({
-			response, source, model, offset, isGone: () => isGone,
+			response, source, model, offset, isDisconnected: () => isDisconnected,
 		});
 		if (held?.kind === 'held') {
 			await write({
-				response, source: await findHeld(reply, held), model, offset: 0, isGone: () => isGone,
+				response, source: await findClaimHolder(reply, held), model, offset: 0, isDisconnected: () => isDisconnected,
 			});
 		}
 	}
 
-	async function findHeld({caller, claim}: Reply, held: Extract<AnswerEnd, {readonly kind: 'held'}>): Promise<AnswerSource> {
+	async function findClaimHolder({caller, claim}: Reply, held: Extract<AnswerEnd, {readonly kind: 'held'}>): Promise<AnswerSource> {
 		if (held.fingerprint !== claim?.fingerprint) {
 			throw new ValvesaddleError('ERR_VALVESADDLE_IDEMPOTENCY_KEY_REUSED', 'the key stands for a different request');
 		}
@@ -136,7 +136,7 @@
 
 	function createJobHandler(build: JobBuilder): RawHandler {
 		return withCaller(async (caller, response) => {
-			checkTaken(caller.account);
+			checkAdmission(caller.account);
 			const text = await readBody(caller.request, options.bodyBytes);
 			const {job, model, isStreamed} = build(caller, text, {node: options.node, region: options.region, access: options.access()});
 			await writeReply({
@@ -166,7 +166,7 @@
 	service.all('/v1/services/:service', handleService);
 	service.all('/v1/services/:service/*', handleService);
 	service.get('/v1/models', withCaller(async ({account}, response) => {
-		const data = options.access().models(account.name).map(id => ({id, object: 'model'}));
+		const data = options.access().listModels(account.name).map(id => ({id, object: 'model'}));
 		response.setHeader('content-type', 'application/json');
 		response.end(JSON.stringify({object: 'list', data}));
 	}));
@@ -184,7 +184,7 @@
 			return formatServerAddress(server);
 		},
 		close: async () => closeServer(server),
-		cut() {
+		closeConnections() {
 			server.close();
 			server.closeAllConnections();
 		},
--- a/caller/api/src/reply-context.ts
+++ b/caller/api/src/reply-context.ts
@@ -15,5 +15,5 @@
 	/**
 	Whether the caller is still there.
 	*/
-	readonly isGone: () => boolean;
+	readonly isDisconnected: () => boolean;
 };
--- a/caller/api/src/write-stream-reply.ts
+++ b/caller/api/src/write-stream-reply.ts
@@ -6,7 +6,7 @@
 import {sendError} from './send-error.ts';
 import {toErrorBody} from './to-error-body.ts';
 
-const endMark = '[DONE]';
+const endOfStream = '[DONE]';
 
 /**
  Writes an answer as server-sent events in the chat completions form. Each event's id holds the request id and how
@@ -20,7 +20,7 @@
 export async function writeStreamReply(context: ReplyContext): Promise<AnswerEnd | undefined> {
 	const {response, source} = context;
 	let {offset} = context;
-	while (!context.isGone()) {
+	while (!context.isDisconnected()) {
 		// eslint-disable-next-line no-await-in-loop -- parts come one after the other
 		const {parts, end} = await source.read(offset);
 		if (end?.kind === 'held') {
@@ -82,5 +82,5 @@
 		choices: [{index: 0, delta: {}, finish_reason: finishReason}],
 		usage: {completion_tokens: offset},
 	};
-	response.end(`id: ${source.requestId}:${offset}\ndata: ${JSON.stringify(chunk)}\n\ndata: ${endMark}\n\n`);
+	response.end(`id: ${source.requestId}:${offset}\ndata: ${JSON.stringify(chunk)}\n\ndata: ${endOfStream}\n\n`);
 }
--- a/caller/api/src/write-whole-reply.ts
+++ b/caller/api/src/write-whole-reply.ts
@@ -11,10 +11,10 @@
  await writeWholeReply(context);
  */
 export async function writeWholeReply(context: ReplyContext): Promise<AnswerEnd | undefined> {
-	const {response, source, isGone} = context;
+	const {response, source, isDisconnected} = context;
 	const parts: string[] = [];
 	let end: AnswerEnd | undefined;
-	while (end === undefined && !isGone()) {
+	while (end === undefined && !isDisconnected()) {
 		// eslint-disable-next-line no-await-in-loop -- parts come one after the other
 		const page = await source.read(parts.length);
 		parts.push(...page.parts);
--- a/endpoint/engine/src/build-engine-body.ts
+++ b/endpoint/engine/src/build-engine-body.ts
@@ -15,11 +15,11 @@
 
 	const messages: readonly unknown[] = Array.isArray(body.messages) ? body.messages : [];
 	const last: unknown = messages.at(-1);
-	const isContinues = body.continue_final_message === true && isAnswer(last);
-	const answer = {role: 'assistant', content: isContinues ? `${last.content}${textSoFar}` : textSoFar};
+	const isContinuation = body.continue_final_message === true && isAnswer(last);
+	const answer = {role: 'assistant', content: isContinuation ? `${last.content}${textSoFar}` : textSoFar};
 	return {
 		...streamed,
-		messages: [...(isContinues ? messages.slice(0, -1) : messages), answer],
+		messages: [...(isContinuation ? messages.slice(0, -1) : messages), answer],
 		continue_final_message: true,
 		add_generation_prompt: false,
 		...adjustTokenLimit(body, 'max_tokens', tokensSoFar),
--- a/endpoint/engine/src/create-engine-client.ts
+++ b/endpoint/engine/src/create-engine-client.ts
@@ -13,7 +13,7 @@
 
 const loadSchema = z.object({server_load: z.number().min(0), leaving: z.boolean().default(false)});
 const loadTimeoutMs = 1000;
-const endMark = '[DONE]';
+const endOfStream = '[DONE]';
 const keepAliveMs = 30_000;
 
 /**
@@ -79,7 +79,7 @@
 	let isDone = false;
 	const parser = createParser({
 		onEvent({data}) {
-			if (data === endMark) {
+			if (data === endOfStream) {
 				isDone = true;
 			} else {
 				events.push(...readChunk(data));
@@ -87,14 +87,14 @@
 		},
 	});
 	const decoder = new TextDecoder();
-	let hasFinish = false;
+	let hasFinished = false;
 	try {
 		for await (const bytes of response.body) {
 			parser.feed(decoder.decode(bytes as Uint8Array, {stream: true}));
 			const ready = events;
 			events = [];
 			for (const event of ready) {
-				hasFinish ||= event.kind === 'finish';
+				hasFinished ||= event.kind === 'finish';
 				yield event;
 			}
 		}
@@ -102,7 +102,7 @@
 		throw classifySendFailure(error, signal);
 	}
 
-	if (!isDone && !hasFinish) {
+	if (!isDone && !hasFinished) {
 		throw new ValvesaddleError('ERR_VALVESADDLE_ENDPOINT_FAILED', 'the answer of the engine ended before its end');
 	}
 }
--- a/endpoint/service/src/create-service-client.ts
+++ b/endpoint/service/src/create-service-client.ts
@@ -6,7 +6,7 @@
 import type {ServiceReply} from './service-reply.ts';
 import type {ServiceRequest} from './service-request.ts';
 
-const largestReplyBytes = 8 * 1024 * 1024;
+const maximumReplyBytes = 8 * 1024 * 1024;
 
 /**
  Creates the adapter to plain HTTP services.
@@ -16,7 +16,7 @@
  */
 export function createServiceClient(options: ServiceClientOptions): ServiceClient {
 	const agent = new Agent({
-		connectTimeout: options.connectMs, headersTimeout: options.replyMs, bodyTimeout: options.replyMs, maxResponseSize: largestReplyBytes,
+		connectTimeout: options.connectMs, headersTimeout: options.replyMs, bodyTimeout: options.replyMs, maxResponseSize: maximumReplyBytes,
 	});
 
 	async function call(request: ServiceRequest, signal: AbortSignal): Promise<ServiceReply> {
--- a/node/router/src/create-router.ts
+++ b/node/router/src/create-router.ts
@@ -186,7 +186,7 @@
 		answers.close();
 		await membership.close();
 		await network.close();
-		callerApi.cut();
+		callerApi.closeConnections();
 		await Promise.all([operatorServer.close(), engines.close(), services.close(), kv.close()]);
 		await tracing.close();
 		await metrics.close();
--- a/operator/access/src/authorize-operator.ts
+++ b/operator/access/src/authorize-operator.ts
@@ -5,7 +5,7 @@
 import type {OperatorRole} from './operator-role.ts';
 
 const bearerPattern = /^bearer (?<token>\S+)$/iv;
-const rolesThatMay: Readonly<Record<OperatorRole, readonly OperatorRole[]>> = {
+const permittedRoles: Readonly<Record<OperatorRole, readonly OperatorRole[]>> = {
 	viewer: ['viewer', 'editor'],
 	editor: ['editor'],
 };
@@ -23,7 +23,7 @@
 		return err(new ValvesaddleError('ERR_VALVESADDLE_OPERATOR_UNAUTHENTICATED', 'the operator token is missing or unknown'));
 	}
 
-	return rolesThatMay[needed].includes(operator.role)
+	return permittedRoles[needed].includes(operator.role)
 		? ok(operator)
 		: err(new ValvesaddleError('ERR_VALVESADDLE_OPERATOR_FORBIDDEN', `operator "${operator.name}" is a ${operator.role}`));
 }
--- a/operator/server/src/create-operator-handlers.ts
+++ b/operator/server/src/create-operator-handlers.ts
@@ -19,12 +19,12 @@
 export function createOperatorHandlers(options: OperatorServerOptions): ServiceImpl<typeof OperatorService> {
 	const {store, follower, metrics} = options;
 
-	async function handle<Reply>(name: string, role: OperatorRole, context: HandlerContext, act: (operator: Operator) => Promise<Reply>): Promise<Reply> {
+	async function handle<Reply>(name: string, role: OperatorRole, context: HandlerContext, run: (operator: Operator) => Promise<Reply>): Promise<Reply> {
 		metrics.increment('operators.calls', 1, {call: name});
 		try {
 			const authorization = context.requestHeader.get('authorization') ?? undefined;
 			const operator = unwrapResult(authorizeOperator(options.operators, authorization, role));
-			return await act(operator);
+			return await run(operator);
 		} catch (error) {
 			metrics.increment('operators.refused', 1, {call: name});
 			throw toConnectError(error);
--- a/operator/server/src/create-operator-server.ts
+++ b/operator/server/src/create-operator-server.ts
@@ -6,7 +6,7 @@
 import type {OperatorServer} from './operator-server.ts';
 import type {OperatorServerOptions} from './operator-server-options.ts';
 
-const largestMessageBytes = 4 * 1024 * 1024;
+const maximumMessageBytes = 4 * 1024 * 1024;
 
 /**
  Creates the server of the operators' calls: Connect and gRPC-Web over HTTP/1.1.
@@ -19,7 +19,7 @@
 		routes(router) {
 			router.service(OperatorService, createOperatorHandlers(options));
 		},
-		readMaxBytes: largestMessageBytes,
+		readMaxBytes: maximumMessageBytes,
 	}));
 
 	return {
