--- a/caller/access/src/access-index.ts
+++ b/caller/access/src/access-index.ts
@@ -5,19 +5,19 @@
 import type {Access} from './access.ts';
 
 /**
-Finds out who calls and what they may use, under one configuration.
+Authenticates callers and resolves what they may use, under one configuration.
 */
 export type AccessIndex = {
 	/**
-	Account of an `Authorization` header.
+	Finds the client account of an `Authorization` header.
 	*/
 	readonly authenticate: (authorization: string | undefined) => Result<ClientAccount, ValvesaddleError>;
 	/**
-	Pool and class for a request of an account.
+	Finds the pool and class for a request of a client account.
 	*/
 	readonly resolve: (request: AccessRequest) => Result<Access, ValvesaddleError>;
 	/**
-	Models that an account is bound to.
+	Lists the engine models that a client account is bound to.
 	*/
 	readonly listModels: (account: string) => readonly string[];
 };
--- a/caller/access/src/access-request.ts
+++ b/caller/access/src/access-request.ts
@@ -1,18 +1,18 @@
 import type {PoolKind} from '@valvesaddle/types';
 
 /**
-What a request wants to use.
+The pool and request class that a request asks for.
 */
 export type AccessRequest = {
 	readonly account: string;
 	readonly kind: PoolKind;
 	readonly model: string;
 	/**
-	Region of the node; a pool there goes before pools elsewhere.
+	Region of the node; pools in it are preferred.
 	*/
 	readonly region: string;
 	/**
-	Class that the caller asks for; may only lower the binding's default.
+	Class that the caller requests; its priority may not be above that of the binding's default class.
 	*/
 	readonly className: string | undefined;
 };
--- a/caller/access/src/access.ts
+++ b/caller/access/src/access.ts
@@ -1,7 +1,7 @@
 import type {Pool, RequestClass} from '@valvesaddle/types';
 
 /**
-What a request may use.
+The pool and request class that a request may use.
 */
 export type Access = {
 	readonly pool: Pool;
--- a/caller/access/src/create-access-index.ts
+++ b/caller/access/src/create-access-index.ts
@@ -15,7 +15,7 @@
 const bearerPattern = /^bearer (?<key>\S+)$/iv;
 
 /**
- Creates the index of who may use what.
+ Creates the index of client accounts, their keys and their bindings to pools.
 
  @example
  const index = createAccessIndex(configuration);
--- a/caller/access/src/hash-key.ts
+++ b/caller/access/src/hash-key.ts
@@ -1,7 +1,7 @@
 import {hash} from 'node:crypto';
 
 /**
- Hash under which an API key or operator token is kept.
+ Hashes an API key or operator token with SHA-256, as stored in the configuration; hexadecimal.
 
  @example
  hashKey('secret'); // '2bb80d53…'
--- a/caller/access/test/access-index.test.ts
+++ b/caller/access/test/access-index.test.ts
@@ -38,20 +38,20 @@
 ];
 
 for (const [header, expected] of headers) {
-	test(`the header "${header ?? 'none'}" stands for ${expected}`, t => {
+	test(`the header "${header ?? 'none'}" gives ${expected}`, t => {
 		const account = index.authenticate(header);
 		t.equal(account.isOk() ? account.value.name : account.error.code, expected);
 		t.end();
 	});
 }
 
-test('the pool of the own region goes first, and the binding\'s first class is the default', t => {
+test('the pool in the node\'s region is preferred, and the binding\'s first class is the default', t => {
 	t.equal(resolve('near'), 'drafting.near route');
 	t.equal(resolve('far'), 'drafting.far estimate');
 	t.end();
 });
 
-test('a caller may lower the class, not raise it, and only to one that is bound', t => {
+test('a caller may request a lower class of its binding, but no higher or unbound one', t => {
 	t.equal(resolve('near', 'estimate'), 'drafting.near estimate');
 	t.equal(resolve('near', 'gate'), 'ERR_VALVESADDLE_CLASS_NOT_ALLOWED');
 	t.equal(resolve('far', 'route'), 'ERR_VALVESADDLE_CLASS_NOT_ALLOWED');
--- a/caller/api/src/build-chat-job.ts
+++ b/caller/api/src/build-chat-job.ts
@@ -10,9 +10,9 @@
 /**
  Builds the job of a chat completion.
 
- @param caller - Who asks.
+ @param caller - Request and client account.
  @param text - Body of the request.
- @param options - Under which configuration.
+ @param options - Node, region and access index.
  @throws `ERR_VALVESADDLE_MALFORMED_BODY`, and what `buildJobBase` throws.
  @example
  const {job} = buildChatJob(caller, text, {node, region, access});
--- a/caller/api/src/build-job-base.ts
+++ b/caller/api/src/build-job-base.ts
@@ -14,19 +14,19 @@
 const tracedHeaders = ['traceparent', 'tracestate'];
 
 /**
-What a job holds whatever it asks for.
+The part of a job that is common to chat completions and plain services.
 */
 type JobBase = Access & Pick<Job, 'requestId' | 'account' | 'claim' | 'trace' | 'arrivedAt'>;
 
 type RequestedWork = Pick<AccessRequest, 'kind' | 'model'> & {
 	/**
-	What makes two requests the same, for a key that is used again.
+	Text of which the fingerprint is taken, to detect an idempotency key reused for a different request.
 	*/
 	readonly text: string;
 };
 
 /**
- Builds the part of a job that is the same for chat completions and plain services.
+ Builds the part of a job that is common to chat completions and plain services.
 
  @throws `ERR_VALVESADDLE_UNKNOWN_MODEL`, `…UNBOUND_ACCOUNT`, `…CLASS_NOT_ALLOWED`, `…IDEMPOTENCY_KEY_REQUIRED`.
  @example
--- a/caller/api/src/build-service-job.ts
+++ b/caller/api/src/build-service-job.ts
@@ -7,11 +7,11 @@
 const pathPattern = /^\/v1\/services\/(?<model>[^\/?]+)(?<rest>(?:\/[^?]*)?)(?<query>\?.*)?$/v;
 
 /**
- Builds the job of a call to a plain service: what follows its name in the path is passed on.
+ Builds the job of a call to a plain service. The path after the service's name and the query are forwarded.
 
- @param caller - Who asks.
+ @param caller - Request and client account.
  @param text - Body of the request.
- @param options - Under which configuration.
+ @param options - Node, region and access index.
  @throws What `buildJobBase` throws.
  @example
  const {job} = buildServiceJob(caller, '{"truck":"PB 1234"}', {node, region, access});
--- a/caller/api/src/caller-api-options.ts
+++ b/caller/api/src/caller-api-options.ts
@@ -15,21 +15,24 @@
 	readonly executor: Executor;
 	readonly access: () => AccessIndex;
 	/**
-	Where an answer is read; `undefined` when no node that can be reached holds it for this account.
+	Finds an answer of this client account on any node; `undefined` when no reachable node holds it.
 	*/
 	readonly findAnswer: (requestId: string, account: string) => Promise<AnswerSource | undefined>;
 	/**
-	Why new requests are refused at the moment; `undefined` when they are not.
+	The error with which new requests are refused; `undefined` when they are admitted.
 	*/
 	readonly refusal: () => ValvesaddleError | undefined;
 	/**
-	Whether a balancer should send new callers here.
+	Whether a load balancer should send new callers to this node.
 	*/
 	readonly isReady: () => boolean;
 	/**
-	Whether connections are told to close after their reply.
+	Whether replies ask callers to close their connection.
 	*/
 	readonly isLeaving: () => boolean;
+	/**
+	Maximum size of a request body.
+	*/
 	readonly bodyBytes: number;
 	readonly metrics: Metrics;
 };
--- a/caller/api/src/caller-api.ts
+++ b/caller/api/src/caller-api.ts
@@ -3,15 +3,15 @@
 */
 export type CallerApi = {
 	/**
-	Starts to listen; resolves to the address in use.
+	Starts listening; resolves to the address in use.
 	*/
 	readonly listen: () => Promise<string>;
 	/**
-	Stops to listen and waits until every reply is out.
+	Stops listening and waits until every reply is sent.
 	*/
 	readonly close: () => Promise<void>;
 	/**
-	Stops to listen and breaks every open connection.
+	Stops listening and closes every open connection.
 	*/
 	readonly closeConnections: () => void;
 };
--- a/caller/api/src/caller.ts
+++ b/caller/api/src/caller.ts
@@ -2,7 +2,7 @@
 import type {ClientAccount} from '@valvesaddle/types';
 
 /**
-A request whose client account is known.
+A request and its authenticated client account.
 */
 export type Caller = {
 	readonly request: IncomingMessage;
--- a/caller/api/src/chat-body-schema.ts
+++ b/caller/api/src/chat-body-schema.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
 
 /**
-The parts of a chat completion that the router reads; all others are passed on as they are.
+The fields of a chat completion that the router reads; all others are forwarded unchanged.
 */
 export const chatBodySchema = z.looseObject({
 	model: z.string().min(1),
--- a/caller/api/src/create-caller-api.ts
+++ b/caller/api/src/create-caller-api.ts
@@ -68,7 +68,7 @@
 	}
 
 	/**
-	Wraps a handler that needs a known caller.
+	Authenticates the caller before the handler runs.
 	*/
 	function withCaller(handle: Handler): RawHandler {
 		return async (request, response) => {
@@ -101,7 +101,7 @@
 	}
 
 	/**
-	Writes the answer; follows to the attempt that holds the claim where there is one.
+	Writes the answer; when another request holds the idempotency key, writes the answer of that request.
 	*/
 	async function writeReply(reply: Reply): Promise<void> {
 		const {response, source, model, offset, write} = reply;
--- a/caller/api/src/estimate-prompt-tokens.ts
+++ b/caller/api/src/estimate-prompt-tokens.ts
@@ -3,7 +3,7 @@
 type Message = Readonly<Record<string, unknown>>;
 
 /**
- Estimates the tokens of a prompt from the length of its texts; pictures do not count.
+ Estimates the tokens of a prompt from the length of its texts; images are ignored.
 
  @example
  estimatePromptTokens([{role: 'user', content: 'Is box 7 cleared?'}]); // 5
--- a/caller/api/src/get-header.ts
+++ b/caller/api/src/get-header.ts
@@ -1,7 +1,7 @@
 import type {IncomingMessage} from 'node:http';
 
 /**
- One header of a request; `undefined` when it is missing or empty.
+ Gets a header of a request; `undefined` when it is missing or empty.
 
  @example
  getHeader(request, 'idempotency-key'); // 'permit-77'
--- a/caller/api/src/header-names.ts
+++ b/caller/api/src/header-names.ts
@@ -1,5 +1,5 @@
 /**
-Headers of the project.
+Names of the request and response headers.
 */
 export const headerNames = {
 	requestId: 'x-valvesaddle-request-id',
--- a/caller/api/src/job-options.ts
+++ b/caller/api/src/job-options.ts
@@ -1,7 +1,7 @@
 import type {AccessIndex} from '@valvesaddle/access';
 
 /**
-What building a job needs besides the request.
+Options of the job builders.
 */
 export type JobOptions = {
 	readonly node: string;
--- a/caller/api/src/job-plan.ts
+++ b/caller/api/src/job-plan.ts
@@ -1,7 +1,7 @@
 import type {Job} from '@valvesaddle/execution';
 
 /**
-A job, and how its answer is written.
+A job and the form of its reply.
 */
 export type JobPlan = {
 	readonly job: Job;
--- a/caller/api/src/parse-chat-body.ts
+++ b/caller/api/src/parse-chat-body.ts
@@ -3,9 +3,9 @@
 import {chatBodySchema} from './chat-body-schema.ts';
 
 /**
- Reads the body of a chat completion.
+ Parses the body of a chat completion.
 
- @throws `ERR_VALVESADDLE_MALFORMED_BODY` that names every fault.
+ @throws `ERR_VALVESADDLE_MALFORMED_BODY` that lists every error.
  @example
  parseChatBody('{"model":"drafting","messages":[{"role":"user","content":"Hello"}]}').model; // 'drafting'
  */
--- a/caller/api/src/parse-event-id.ts
+++ b/caller/api/src/parse-event-id.ts
@@ -1,5 +1,5 @@
 /**
-Where a caller that lost its connection goes on.
+Position in an answer at which a reconnecting caller resumes.
 */
 type EventPosition = {
 	readonly requestId: string;
@@ -9,7 +9,7 @@
 const eventIdPattern = /^(?<requestId>[\w\-.]+):(?<offset>\d{1,9})$/v;
 
 /**
- Reads a `Last-Event-ID` header.
+ Parses a `Last-Event-ID` header; `undefined` when it is malformed.
 
  @example
  parseEventId('a1_9:42'); // {requestId: 'a1_9', offset: 42}
--- a/caller/api/src/read-body.ts
+++ b/caller/api/src/read-body.ts
@@ -5,7 +5,7 @@
 /**
  Reads the body of a request.
 
- @throws `ERR_VALVESADDLE_BODY_TOO_LARGE` past `limitBytes`, `ERR_VALVESADDLE_MALFORMED_BODY` when it breaks off.
+ @throws `ERR_VALVESADDLE_BODY_TOO_LARGE` past `limitBytes`, `ERR_VALVESADDLE_MALFORMED_BODY` when the connection breaks.
  @example
  const text = await readBody(request, 1_000_000);
  */
--- a/caller/api/src/reply-context.ts
+++ b/caller/api/src/reply-context.ts
@@ -2,18 +2,18 @@
 import type {AnswerSource} from '@valvesaddle/answers';
 
 /**
-What writing a reply needs.
+Input of the reply writers.
 */
 export type ReplyContext = {
 	readonly response: ServerResponse;
 	readonly source: AnswerSource;
 	readonly model: string;
 	/**
-	Parts that the caller has already.
+	Number of parts that the caller already has.
 	*/
 	readonly offset: number;
 	/**
-	Whether the caller is still there.
+	Whether the caller has disconnected.
 	*/
 	readonly isDisconnected: () => boolean;
 };
--- a/caller/api/src/send-error.ts
+++ b/caller/api/src/send-error.ts
@@ -7,7 +7,7 @@
 const millisecondsPerSecond = 1000;
 
 /**
- Sends an error reply, with `Retry-After` where another try makes sense.
+ Sends an error reply, with `Retry-After` when the request can be retried.
 
  @example
  sendError(response, end, requestId);
--- a/caller/api/src/to-error-body.ts
+++ b/caller/api/src/to-error-body.ts
@@ -3,7 +3,7 @@
 import type {ErrorEnd} from './error-end.ts';
 
 /**
- The words for a caller whose request failed.
+ Builds the body of an error reply.
 
  @example
  toErrorBody(end, 'a1_9').error.ran; // 'no'
--- a/caller/api/src/to-error-end.ts
+++ b/caller/api/src/to-error-end.ts
@@ -2,7 +2,7 @@
 import type {ErrorEnd} from './error-end.ts';
 
 /**
- The end of a request that was refused before its execution began.
+ Builds the end of a request that was refused before its execution began.
 
  @example
  toErrorEnd(new ValvesaddleError('ERR_VALVESADDLE_UNKNOWN_MODEL', 'no pool serves "x"')).ran; // 'no'
--- a/caller/api/src/write-stream-reply.ts
+++ b/caller/api/src/write-stream-reply.ts
@@ -9,11 +9,11 @@
 const endOfStream = '[DONE]';
 
 /**
- Writes an answer as server-sent events in the chat completions form. Each event's id holds the request id and how
- many parts came, so that the caller can go on from there through any node. Headers go out with the first part, so
- that a refusal still gets its own status.
+ Writes an answer as server-sent events in the chat completions format. Each event's id holds the request id and the
+ number of parts sent, so that the caller can resume through any node. Headers are sent with the first part, so that
+ an error before it still gets its own status.
 
- @returns The end that could not be written here because another attempt holds the claim, if that is the case.
+ @returns The end of kind `held` when another request holds the idempotency key; nothing is written then.
  @example
  await writeStreamReply(context);
  */
@@ -21,7 +21,7 @@
 	const {response, source} = context;
 	let {offset} = context;
 	while (!context.isDisconnected()) {
-		// eslint-disable-next-line no-await-in-loop -- parts come one after the other
+		// eslint-disable-next-line no-await-in-loop -- parts are read in order
 		const {parts, end} = await source.read(offset);
 		if (end?.kind === 'held') {
 			return end;
--- a/caller/api/src/write-whole-reply.ts
+++ b/caller/api/src/write-whole-reply.ts
@@ -4,9 +4,9 @@
 import {sendError} from './send-error.ts';
 
 /**
- Writes an answer as one reply once it has ended: a chat completion, or a plain service's reply as it came.
+ Writes an answer as a single reply once it has ended: a chat completion, or a plain service's reply unchanged.
 
- @returns The end that could not be written here because another attempt holds the claim, if that is the case.
+ @returns The end of kind `held` when another request holds the idempotency key; nothing is written then.
  @example
  await writeWholeReply(context);
  */
@@ -15,7 +15,7 @@
 	const parts: string[] = [];
 	let end: AnswerEnd | undefined;
 	while (end === undefined && !isDisconnected()) {
-		// eslint-disable-next-line no-await-in-loop -- parts come one after the other
+		// eslint-disable-next-line no-await-in-loop -- parts are read in order
 		const page = await source.read(parts.length);
 		parts.push(...page.parts);
 		end = page.end;
--- a/caller/api/test/parsers.test.ts
+++ b/caller/api/test/parsers.test.ts
@@ -5,7 +5,7 @@
 import {parseChatBody} from '../src/parse-chat-body.ts';
 import {parseEventId} from '../src/parse-event-id.ts';
 
-test('any body is either read or refused with a typed error', t => {
+test('any body is either parsed or rejected with a typed error', t => {
 	fc.assert(fc.property(fc.oneof(fc.string(), fc.json(), fc.record({model: fc.string(), messages: fc.array(fc.object())}).map(value => JSON.stringify(value))), text => {
 		try {
 			return parseChatBody(text).messages.length > 0;
@@ -16,14 +16,14 @@
 	t.end();
 });
 
-test('fields that the router does not know are passed on', t => {
+test('unknown fields are kept', t => {
 	t.same(parseChatBody('{"model":"m","messages":[{"role":"user","content":"x","name":"n"}],"top_k":5}'), {
 		model: 'm', messages: [{role: 'user', content: 'x', name: 'n'}], top_k: 5,
 	});
 	t.end();
 });
 
-test('any event id is either read whole or not at all', t => {
+test('any event id is either parsed completely or rejected', t => {
 	fc.assert(fc.property(fc.string(), text => {
 		const position = parseEventId(text);
 		return position === undefined || `${position.requestId}:${text.split(':').at(-1)}` === text;
@@ -36,7 +36,7 @@
 	t.end();
 });
 
-test('the length of a prompt is estimated from its texts, pictures left out', t => {
+test('the length of a prompt is estimated from its texts, without images', t => {
 	const picture = {type: 'image_url', image_url: {url: `data:${'x'.repeat(10_000)}`}};
 	t.equal(estimatePromptTokens([{content: 'abcdefgh'}, {content: [{type: 'text', text: 'abcd'}, picture]}, {content: undefined}]), 3);
 	t.end();
--- a/endpoint/engine/src/build-engine-body.ts
+++ b/endpoint/engine/src/build-engine-body.ts
@@ -1,8 +1,8 @@
 import type {EngineRequest} from './engine-request.ts';
 
 /**
- Builds the body for an engine: the caller's, streamed, with the engine's priority. To resume, the text so far goes
- in as an unfinished answer that the engine continues (vLLM's published `continue_final_message`).
+ Builds the body of a request to an engine: the caller's body with streaming enabled and the engine's priority. To
+ resume, the text so far is sent as an unfinished answer that the engine continues (vLLM's `continue_final_message`).
 
  @example
  buildEngineBody({...request, textSoFar: 'The permit'}).continue_final_message; // true
--- a/endpoint/engine/src/create-engine-client.ts
+++ b/endpoint/engine/src/create-engine-client.ts
@@ -17,8 +17,8 @@
 const keepAliveMs = 30_000;
 
 /**
- Creates the adapter to model engines that speak the published chat completions interface (streamed as server-sent
- events, with vLLM's `priority` and `/load`).
+ Creates a client for model engines with the chat completions API, streamed as server-sent events, and vLLM's
+ `priority` and `/load`.
 
  @example
  for await (const event of engines.stream(request, signal)) {}
--- a/endpoint/engine/src/engine-client-options.ts
+++ b/endpoint/engine/src/engine-client-options.ts
@@ -4,11 +4,11 @@
 export type EngineClientOptions = {
 	readonly connectMs: number;
 	/**
-	Longest wait for the first token, in milliseconds.
+	Timeout for the response headers, in milliseconds.
 	*/
 	readonly firstTokenMs: number;
 	/**
-	Longest pause between tokens, in milliseconds.
+	Timeout between two chunks of the body, in milliseconds.
 	*/
 	readonly pauseMs: number;
 };
--- a/endpoint/engine/src/engine-event.ts
+++ b/endpoint/engine/src/engine-event.ts
@@ -1,5 +1,5 @@
 /**
-What comes from an engine while it answers.
+An event of an engine's streamed answer.
 */
 export type EngineEvent =
 	| {readonly kind: 'delta'; readonly delta: Readonly<Record<string, unknown>>; readonly text: string}
--- a/endpoint/engine/src/engine-request.ts
+++ b/endpoint/engine/src/engine-request.ts
@@ -14,7 +14,7 @@
 	*/
 	readonly priority: number;
 	/**
-	Text delivered already; the engine goes on from there.
+	Text already delivered to the caller; the engine continues from there.
 	*/
 	readonly textSoFar: string;
 	readonly tokensSoFar: number;
--- a/endpoint/engine/src/read-chunk.ts
+++ b/endpoint/engine/src/read-chunk.ts
@@ -10,7 +10,9 @@
 });
 
 /**
- Reads one chunk of a streamed completion.
+ Decodes one chunk of a streamed completion.
+
+ @throws `ERR_VALVESADDLE_ENDPOINT_FAILED` when the chunk is malformed.
 
  @example
  readChunk('{"choices":[{"delta":{"content":"Yes"}}]}'); // [{kind: 'delta', delta: {content: 'Yes'}, text: 'Yes'}]
--- a/endpoint/engine/test/engine-client.test.ts
+++ b/endpoint/engine/test/engine-client.test.ts
@@ -45,19 +45,19 @@
 
 const whole = Array.from({length: 6}, (_, index) => createToken(index)).join('');
 
-test('an answer is read token by token to its end', async t => {
+test('an answer is streamed token by token to its end', async t => {
 	const {engine, client} = await startPair(t);
 	t.same(await readAll(client, createRequest(engine.url)), {text: whole, code: ''});
 });
 
-test('an unfinished answer is resumed where it ended, and its limit is what is left', async t => {
+test('an unfinished answer is resumed where it ended, with the remaining token limit', async t => {
 	const {engine, client} = await startPair(t);
 	const textSoFar = createToken(0) + createToken(1);
 	const {text} = await readAll(client, createRequest(engine.url, {textSoFar, tokensSoFar: 2}));
 	t.equal(textSoFar + text, whole);
 });
 
-test('a caller\'s own unfinished answer is continued together with what came since', t => {
+test('an unfinished answer in the caller\'s body is merged with the text so far', t => {
 	const body = buildEngineBody({
 		...createRequest('http://e'), textSoFar: 'b', tokensSoFar: 1,
 		body: {messages: [{role: 'user', content: 'q'}, {role: 'assistant', content: 'a'}], continue_final_message: true, max_tokens: 10},
@@ -84,7 +84,7 @@
 	});
 }
 
-test('a refusal tells for how long the engine wants no requests, where it asks for that', async t => {
+test('a refusal carries the Retry-After time of the engine, if it sent one', async t => {
 	const {engine, client} = await startPair(t);
 	for (const [fault, retryAfterMs] of [['busy', 200_000], ['refuse', undefined]] as const) {
 		engine.setFault(fault);
@@ -94,13 +94,13 @@
 	}
 });
 
-test('an engine that is gone surely did not run the request', async t => {
+test('a request to a terminated engine is classified as not run', async t => {
 	const {engine, client} = await startPair(t);
 	await engine.close();
 	t.equal((await readAll(client, createRequest(engine.url))).code, 'ERR_VALVESADDLE_ENDPOINT_NOT_RUN');
 });
 
-test('an engine that crashes mid-answer may have run it', async t => {
+test('a request to an engine that crashes mid-answer may have run', async t => {
 	const {engine, client} = await startPair(t, {stepMs: 5});
 	const reading = readAll(client, createRequest(engine.url, {body: {messages: [{role: 'user', content: 'x'}], max_tokens: 1000}}));
 	while (engine.counts().tokens < 3) {
@@ -114,13 +114,13 @@
 	t.equal((await reading).code, 'ERR_VALVESADDLE_ENDPOINT_FAILED');
 });
 
-test('an engine that finds fault with the prompt is not blamed', async t => {
+test('a prompt that the engine rejects is not classified as a failure of the engine', async t => {
 	const {engine, client} = await startPair(t);
 	const request = createRequest(engine.url, {body: {messages: [{role: 'user', content: 'reject me'}]}});
 	t.equal((await readAll(client, request)).code, 'ERR_VALVESADDLE_ENDPOINT_REJECTED');
 });
 
-test('a cancelled answer stops at the engine', async t => {
+test('cancelling an answer stops it at the engine', async t => {
 	const {engine, client} = await startPair(t, {stepMs: 5});
 	const abort = new AbortController();
 	const reading = readAll(client, createRequest(engine.url, {body: {messages: [{role: 'user', content: 'x'}], max_tokens: 1000}}), abort.signal);
@@ -141,7 +141,7 @@
 	}
 });
 
-test('any chunk is either read or rejected with a typed error', t => {
+test('any chunk is either decoded or rejected with a typed error', t => {
 	fc.assert(fc.property(fc.oneof(fc.string(), fc.json()), data => {
 		try {
 			readChunk(data);
--- a/endpoint/http-outcome/src/classify-send-failure.ts
+++ b/endpoint/http-outcome/src/classify-send-failure.ts
@@ -1,12 +1,12 @@
 import {ValvesaddleError} from '@valvesaddle/error';
 
 /**
-Failures that come before a connection stands, so before any byte of the request went out.
+Errors raised before the connection is established, so before any byte of the request is sent.
 */
 const notSentCodes: ReadonlySet<string> = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'UND_ERR_CONNECT_TIMEOUT']);
 
 /**
- Tells what a failed HTTP call means for the request: surely not run, or maybe run.
+ Classifies a failed HTTP call: the request certainly did not run, may have run, or was cancelled.
 
  @example
  classifySendFailure(connectionRefused, signal).traits.ran; // 'no'
--- a/endpoint/http-outcome/src/classify-status.ts
+++ b/endpoint/http-outcome/src/classify-status.ts
@@ -2,17 +2,17 @@
 import {parseRetryAfter} from '@valvesaddle/retry-after';
 
 /**
-Statuses by which an endpoint says that it did not begin with the request.
+Statuses with which an endpoint refuses a request before it starts to run it.
 */
 const notRunStatuses: ReadonlySet<number> = new Set([429, 503]);
 const maximumTextLength = 500;
 
 /**
- Tells what an HTTP status other than 2xx means for the request. An endpoint's 429 and 503 are its explicit word that
- it took no work, and their `Retry-After` is the time for which it wants none.
+ Classifies an HTTP status other than 2xx. A 429 or 503 means that the endpoint did not run the request; its
+ `Retry-After` header is passed on in the error.
 
- @param status - Status of the answer.
- @param text - Its body, for the message.
+ @param status - Status of the response.
+ @param text - Body of the response, for the error message.
  @param retryAfter - Its `Retry-After` header.
  @example
  classifyStatus(503, 'draining').traits.ran; // 'no'
--- a/endpoint/service/src/create-service-client.ts
+++ b/endpoint/service/src/create-service-client.ts
@@ -9,7 +9,7 @@
 const maximumReplyBytes = 8 * 1024 * 1024;
 
 /**
- Creates the adapter to plain HTTP services.
+ Creates a client for plain HTTP services.
 
  @example
  const reply = await services.call(request, signal);
--- a/endpoint/service/src/service-client-options.ts
+++ b/endpoint/service/src/service-client-options.ts
@@ -4,7 +4,7 @@
 export type ServiceClientOptions = {
 	readonly connectMs: number;
 	/**
-	Longest time for a whole reply, in milliseconds.
+	Timeout for the response headers and between two chunks of the body, in milliseconds.
 	*/
 	readonly replyMs: number;
 };
--- a/endpoint/service/src/service-client.ts
+++ b/endpoint/service/src/service-client.ts
@@ -2,7 +2,7 @@
 import type {ServiceRequest} from './service-request.ts';
 
 /**
-Port of the plain services. `call` throws like the engines' `stream`.
+Client of the plain services. `call` throws the same errors as `stream` of the engine client.
 */
 export type ServiceClient = {
 	readonly call: (request: ServiceRequest, signal: AbortSignal) => Promise<ServiceReply>;
--- a/endpoint/service/src/service-reply.ts
+++ b/endpoint/service/src/service-reply.ts
@@ -1,5 +1,5 @@
 /**
-Whole reply of a plain service.
+Complete reply of a plain service.
 */
 export type ServiceReply = {
 	readonly status: number;
--- a/endpoint/service/src/service-request.ts
+++ b/endpoint/service/src/service-request.ts
@@ -1,7 +1,7 @@
 import type {TraceCarrier} from '@valvesaddle/tracing';
 
 /**
-A call of a plain service.
+A call to a plain service.
 */
 export type ServiceRequest = {
 	readonly url: string;
@@ -13,7 +13,7 @@
 	readonly contentType: string;
 	readonly body: string;
 	/**
-	Passed on so that the service can recognise a repetition itself.
+	Forwarded so that the service can detect a repeated call.
 	*/
 	readonly idempotencyKey: string | undefined;
 	readonly trace: TraceCarrier;
--- a/endpoint/service/test/service-client.test.ts
+++ b/endpoint/service/test/service-client.test.ts
@@ -25,7 +25,7 @@
 	}
 }
 
-test('a call is passed on with its key and answered as the service answered', async t => {
+test('a call is forwarded with its idempotency key, and the service\'s reply is returned unchanged', async t => {
 	let seen: unknown;
 	const server = await startFakeServer({
 		handle(request, response) {
@@ -57,15 +57,15 @@
 }
 
 const handlers: ReadonlyArray<readonly [string, FakeServerOptions['handle'], string]> = [
-	['frozen before its headers', () => undefined, 'ERR_VALVESADDLE_ENDPOINT_FAILED'],
-	['cut in the middle of its body', (_request, response) => {
+	['stalled before its headers', () => undefined, 'ERR_VALVESADDLE_ENDPOINT_FAILED'],
+	['interrupted in its body', (_request, response) => {
 		response.writeHead(200, {'content-length': '100'});
 		response.write('half');
 		setImmediate(() => {
 			response.destroy();
 		});
 	}, 'ERR_VALVESADDLE_ENDPOINT_FAILED'],
-	['refused as a wrong request', (_request, response) => {
+	['a client error', (_request, response) => {
 		response.statusCode = 422;
 		response.end('no such truck');
 	}, ''],
@@ -79,7 +79,7 @@
 	});
 }
 
-test('a service that is gone surely did not run the call', async t => {
+test('a call to a terminated service is classified as not run', async t => {
 	const service = await startFakeService();
 	await service.close();
 	t.equal(await getCode(t, service.url), 'ERR_VALVESADDLE_ENDPOINT_NOT_RUN');
--- a/operator/access/src/operator-role.ts
+++ b/operator/access/src/operator-role.ts
@@ -1,4 +1,4 @@
 /**
-What an operator may do: `viewer` reads, `editor` changes.
+Role of an operator: `viewer` may read, `editor` may also change.
 */
 export type OperatorRole = 'viewer' | 'editor';
--- a/operator/access/src/operator.ts
+++ b/operator/access/src/operator.ts
@@ -1,7 +1,7 @@
 import type {OperatorRole} from './operator-role.ts';
 
 /**
-An operator, proved by a token.
+An operator, authenticated by a token.
 */
 export type Operator = {
 	readonly name: string;
--- a/operator/client/src/create-operator-client.ts
+++ b/operator/client/src/create-operator-client.ts
@@ -4,7 +4,7 @@
 import type {OperatorClientOptions} from './operator-client-options.ts';
 
 /**
- Creates a client of the operators' calls.
+ Creates a client of the operator API.
 
  @example
  const {revision} = await createOperatorClient({url, token}).getConfiguration({});
--- a/operator/server/src/create-operator-handlers.ts
+++ b/operator/server/src/create-operator-handlers.ts
@@ -11,7 +11,7 @@
 const changeIdPattern = /^[\w\-.]{1,100}$/v;
 
 /**
- Creates the handlers of the operators' calls. Each call is authorized and counted.
+ Creates the handlers of the operator API. Each call is authorized and counted.
 
  @example
  router.service(OperatorService, createOperatorHandlers(options));
@@ -59,7 +59,7 @@
 			const record = unwrapResult(await store.apply({
 				changeId: request.changeId, expectedRevision: request.expectedRevision, configuration, author: operator.name,
 			}));
-			// A change that was accepted earlier comes back with its old revision and the newest configuration.
+			// A change that was already applied returns its original revision and the latest configuration.
 			if (record.configuration === configuration) {
 				follower.offer(record, 'operator');
 			}
--- a/operator/server/src/create-operator-server.ts
+++ b/operator/server/src/create-operator-server.ts
@@ -9,7 +9,7 @@
 const maximumMessageBytes = 4 * 1024 * 1024;
 
 /**
- Creates the server of the operators' calls: Connect and gRPC-Web over HTTP/1.1.
+ Creates the server of the operator API: Connect and gRPC-Web over HTTP/1.1.
 
  @example
  const address = await createOperatorServer(options).listen();
--- a/operator/server/src/from-configuration-message.ts
+++ b/operator/server/src/from-configuration-message.ts
@@ -6,15 +6,15 @@
 import type {Configuration} from '@valvesaddle/types';
 
 /**
-Fields whose zero is a value of its own and not "left out".
+Defaults for required fields that protobuf JSON omits when they are zero or empty.
 */
 const zeroDefaults = {classes: {priority: 0}, accounts: {keyHashes: []}} as const;
 
 /**
- Reads and checks a configuration message.
+ Decodes and validates a configuration message.
 
  @example
- fromConfigurationMessage(message).isErr(); // when anything in it is wrong
+ fromConfigurationMessage(message).isErr(); // when the configuration is invalid
  */
 export function fromConfigurationMessage(message: ConfigurationMessage): Result<Configuration, ValvesaddleError> {
 	const json = toJson(ConfigurationSchema, message);
--- a/operator/server/src/node-status.ts
+++ b/operator/server/src/node-status.ts
@@ -1,7 +1,7 @@
 import type {PoolStatus} from '@valvesaddle/pool';
 
 /**
-What a node tells operators of itself.
+Status of a node, for operators.
 */
 export type NodeStatus = {
 	readonly node: string;
--- a/operator/server/src/operator-server.ts
+++ b/operator/server/src/operator-server.ts
@@ -1,9 +1,9 @@
 /**
-Serves the operators' remote procedure calls.
+Server of the operator API.
 */
 export type OperatorServer = {
 	/**
-	Starts to listen; resolves to the address in use.
+	Starts listening; resolves to the address in use.
 	*/
 	readonly listen: () => Promise<string>;
 	readonly close: () => Promise<void>;
--- a/operator/server/src/to-configuration-message.ts
+++ b/operator/server/src/to-configuration-message.ts
@@ -3,7 +3,7 @@
 import type {Configuration} from '@valvesaddle/types';
 
 /**
- Turns a configuration into its message.
+ Converts a configuration to its message.
 
  @example
  toConfigurationMessage(configuration).pools.length;
--- a/operator/server/src/to-connect-error.ts
+++ b/operator/server/src/to-connect-error.ts
@@ -12,7 +12,7 @@
 };
 
 /**
- Turns a failure into a Connect error. The message begins with the project's code and ends with its hint.
+ Converts an error to a Connect error. The message begins with the project's code and ends with its hint.
 
  @example
  toConnectError(error).code === Code.Aborted;
