--- a/caller/api/src/build-job-base.ts
+++ b/caller/api/src/build-job-base.ts
@@ -1,6 +1,6 @@
 import {hash, randomBytes} from 'node:crypto';
 import type {IncomingMessage} from 'node:http';
-import type {Access, AccessQuestion} from '@valvesaddle/access';
+import type {Access, AccessRequest} from '@valvesaddle/access';
 import {ValvesaddleError} from '@valvesaddle/error';
 import type {Job, JobClaim} from '@valvesaddle/execution';
 import type {Pool} from '@valvesaddle/types';
@@ -14,25 +14,25 @@
 const tracedHeaders = ['traceparent', 'tracestate'];
 
 /**
-What a job holds whatever it asks for.
+The part of a job that is common to chat completions and plain services.
 */
 type JobBase = Access & Pick<Job, 'requestId' | 'account' | 'claim' | 'trace' | 'arrivedAt'>;
 
-type Asked = Pick<AccessQuestion, 'kind' | 'model'> & {
+type RequestedWork = Pick<AccessRequest, 'kind' | 'model'> & {
 	/**
-	What makes two requests the same, for a key that is used again.
+	Text of which the fingerprint is taken, to detect an idempotency key reused for a different request.
 	*/
 	readonly text: string;
 };
 
 /**
- Builds the part of a job that is the same for chat completions and plain services.
+ Builds the part of a job that is common to chat completions and plain services.
 
  @throws `ERR_VALVESADDLE_UNKNOWN_MODEL`, `…UNBOUND_ACCOUNT`, `…CLASS_NOT_ALLOWED`, `…IDEMPOTENCY_KEY_REQUIRED`.
  @example
  buildJobBase(caller, {kind: 'engine', model: 'drafting', text}, {node, region, access}).requestId; // 'a1_5f…'
  */
-export function buildJobBase({request, account}: Caller, {kind, model, text}: Asked, options: JobOptions): JobBase {
+export function buildJobBase({request, account}: Caller, {kind, model, text}: RequestedWork, options: JobOptions): JobBase {
 	const access = options.access.resolve({
 		account: account.name, kind, model, region: options.region, className: getHeader(request, headerNames.className),
 	});
--- a/endpoint/engine/src/build-engine-body.ts
+++ b/endpoint/engine/src/build-engine-body.ts
@@ -1,8 +1,8 @@
 import type {EngineRequest} from './engine-request.ts';
 
 /**
- Builds the body for an engine: the caller's, streamed, with the engine's priority. To resume, the text so far goes
- in as an unfinished answer that the engine continues (vLLM's published `continue_final_message`).
+ Builds the body of a request to an engine: the caller's body with streaming enabled and the engine's priority. To
+ resume, the text so far is sent as an unfinished answer that the engine continues (vLLM's `continue_final_message`).
 
  @example
  buildEngineBody({...request, textSoFar: 'The permit'}).continue_final_message; // true
@@ -15,11 +15,11 @@
 
 	const messages: readonly unknown[] = Array.isArray(body.messages) ? body.messages : [];
 	const last: unknown = messages.at(-1);
-	const isContinues = body.continue_final_message === true && isAnswer(last);
-	const answer = {role: 'assistant', content: isContinues ? `${last.content}${textSoFar}` : textSoFar};
+	const isContinuation = body.continue_final_message === true && isAnswer(last);
+	const answer = {role: 'assistant', content: isContinuation ? `${last.content}${textSoFar}` : textSoFar};
 	return {
 		...streamed,
-		messages: [...(isContinues ? messages.slice(0, -1) : messages), answer],
+		messages: [...(isContinuation ? messages.slice(0, -1) : messages), answer],
 		continue_final_message: true,
 		add_generation_prompt: false,
 		...adjustTokenLimit(body, 'max_tokens', tokensSoFar),
--- a/operator/server/src/create-operator-handlers.ts
+++ b/operator/server/src/create-operator-handlers.ts
@@ -11,7 +11,7 @@
 const changeIdPattern = /^[\w\-.]{1,100}$/v;
 
 /**
- Creates the handlers of the operators' calls. Each call is authorized and counted.
+ Creates the handlers of the operator API. Each call is authorized and counted.
 
  @example
  router.service(OperatorService, createOperatorHandlers(options));
@@ -19,12 +19,12 @@
 export function createOperatorHandlers(options: OperatorServerOptions): ServiceImpl<typeof OperatorService> {
 	const {store, follower, metrics} = options;
 
-	async function handle<Reply>(name: string, role: OperatorRole, context: HandlerContext, act: (operator: Operator) => Promise<Reply>): Promise<Reply> {
+	async function handle<Reply>(name: string, role: OperatorRole, context: HandlerContext, run: (operator: Operator) => Promise<Reply>): Promise<Reply> {
 		metrics.increment('operators.calls', 1, {call: name});
 		try {
 			const authorization = context.requestHeader.get('authorization') ?? undefined;
 			const operator = unwrapResult(authorizeOperator(options.operators, authorization, role));
-			return await act(operator);
+			return await run(operator);
 		} catch (error) {
 			metrics.increment('operators.refused', 1, {call: name});
 			throw toConnectError(error);
@@ -59,7 +59,7 @@
 			const record = unwrapResult(await store.apply({
 				changeId: request.changeId, expectedRevision: request.expectedRevision, configuration, author: operator.name,
 			}));
-			// A change that was accepted earlier comes back with its old revision and the newest configuration.
+			// A change that was already applied returns its original revision and the latest configuration.
 			if (record.configuration === configuration) {
 				follower.offer(record, 'operator');
 			}
