--- a/observe/logger/src/bounded-sink.ts
+++ b/observe/logger/src/bounded-sink.ts
@@ -1,5 +1,5 @@
 /**
-A sink of lines that never makes its writer wait.
+Buffered output for log lines. Writing never blocks; lines are dropped while the buffer is full.
 */
 export type BoundedSink = {
 	readonly stream: {readonly write: (line: string) => void};
--- a/observe/logger/src/create-bounded-sink.ts
+++ b/observe/logger/src/create-bounded-sink.ts
@@ -2,27 +2,26 @@
 import type {BoundedSink} from './bounded-sink.ts';
 
 /**
-Lines are gathered for so long before they are written, in milliseconds.
+Interval over which lines are batched before they are written, in milliseconds.
 */
-const gatherMs = 100;
+const batchMs = 100;
 /**
-Bytes that may wait for the reader. Above the first bound lines of requests that went well are dropped, above the second
-all are.
+Limits of the buffer, in bytes. Above the first, low-priority lines are dropped; above the second, all lines are.
 */
-const eventfulBytes = 1024 * 1024;
-const largestBytes = 2 * 1024 * 1024;
+const lowPriorityBytes = 1024 * 1024;
+const maximumBytes = 2 * 1024 * 1024;
 /**
-How long a flush waits for the reader, in milliseconds.
+Timeout of a flush, in milliseconds.
 */
 const flushMs = 200;
 /**
-Lines that are dropped first: what they tell can be told from the failures that remain.
+Low-priority lines: requests that were admitted, sent or answered. Failures are kept longer.
 */
-const uneventful = /"msg":"request-(?:admitted|sent)"|"outcome":"answered"/v;
+const lowPriorityPattern = /"msg":"request-(?:admitted|sent)"|"outcome":"answered"/v;
 
 /**
- Creates a sink that keeps a bounded number of bytes while its reader is slow. What was dropped is counted and told in a
- line as soon as there is room.
+ Creates a sink that buffers a bounded number of bytes while its reader is slow. The number of dropped lines is logged as
+ `log-lines-dropped` with the next write.
 
  @example
  const sink = createBoundedSink(process.stdout);
@@ -35,14 +34,14 @@
 	let isWriting = false;
 	let timer: NodeJS.Timeout | undefined;
 
-	// A reader that has gone is no failure of the process.
+	// A closed output, such as a broken pipe, must not end the process.
 	output.on('error', () => {
 		dropped += lines.length;
 		lines = [];
 		bytes = 0;
 	});
 
-	function writeOut(): void {
+	function writeBuffer(): void {
 		timer = undefined;
 		if (isWriting || lines.length === 0) {
 			return;
@@ -56,39 +55,39 @@
 		}
 
 		const text = lines.join('');
-		const written = bytes;
+		const batchBytes = bytes;
 		lines = [];
 		isWriting = true;
 		output.write(text, () => {
 			isWriting = false;
-			bytes -= written;
-			writeOut();
+			bytes -= batchBytes;
+			writeBuffer();
 		});
 	}
 
 	return {
 		stream: {
 			write(line) {
-				if (bytes > largestBytes || (bytes > eventfulBytes && uneventful.test(line))) {
+				if (bytes > maximumBytes || (bytes > lowPriorityBytes && lowPriorityPattern.test(line))) {
 					dropped++;
 					return;
 				}
 
 				bytes += line.length;
 				lines.push(line);
-				timer ??= setTimeout(writeOut, gatherMs).unref();
+				timer ??= setTimeout(writeBuffer, batchMs).unref();
 			},
 		},
 		async flush() {
 			const {promise, resolve} = Promise.withResolvers<void>();
-			const limit = setTimeout(resolve, flushMs);
+			const timeout = setTimeout(resolve, flushMs);
 			clearTimeout(timer);
-			writeOut();
+			writeBuffer();
 			output.write('', () => {
 				resolve();
 			});
 			await promise;
-			clearTimeout(limit);
+			clearTimeout(timeout);
 		},
 	};
 }
--- a/observe/logger/src/create-logger.ts
+++ b/observe/logger/src/create-logger.ts
@@ -17,8 +17,8 @@
 export function createLogger(options: LoggerOptions): Logger {
 	const sink = options.to === 'output' ? createBoundedSink(process.stdout) : undefined;
 	const log = pino({level: options.level, base: {node: options.node}}, sink?.stream ?? destination({dest: standardError, sync: true}));
-	const write = (level: 'info' | 'warn' | 'error') => ({name, ...facts}: LogEvent) => {
-		log[level](facts, name);
+	const write = (level: 'info' | 'warn' | 'error') => ({name, ...fields}: LogEvent) => {
+		log[level](fields, name);
 	};
 
 	return {
--- a/observe/logger/src/log-event.ts
+++ b/observe/logger/src/log-event.ts
@@ -1,5 +1,5 @@
 /**
-A change of state or a decision worth a line. `name` says which; the rest are its facts.
+A structured log line: `name` is the event, the other properties are its fields.
 */
 export type LogEvent =
 	| {readonly name: 'node-state'; readonly from: string; readonly to: string; readonly open?: number}
--- a/observe/logger/src/logger-options.ts
+++ b/observe/logger/src/logger-options.ts
@@ -7,7 +7,7 @@
 	readonly node: string;
 	readonly level: LogLevel;
 	/**
-	Where lines go: `error` is standard error, written at once; `output` is standard output, buffered and never waited for.
+	Destination: `error` writes to standard error synchronously; `output` writes to standard output through a bounded buffer.
 	*/
 	readonly to?: 'error' | 'output';
 };
--- a/observe/logger/src/logger.ts
+++ b/observe/logger/src/logger.ts
@@ -1,14 +1,14 @@
 import type {LogEvent} from './log-event.ts';
 
 /**
-Writes typed lines.
+Writes structured log lines.
 */
 export type Logger = {
 	readonly info: (event: LogEvent) => void;
 	readonly warn: (event: LogEvent) => void;
 	readonly error: (event: LogEvent) => void;
 	/**
-	Writes out what is buffered, as far as the reader takes it within a short time.
+	Writes the buffered lines; stops waiting after a short timeout.
 	*/
 	readonly flush: () => Promise<void>;
 };
--- a/observe/logger/test/bounded-sink.test.ts
+++ b/observe/logger/test/bounded-sink.test.ts
@@ -8,22 +8,22 @@
 
 function createReader() {
 	const texts: string[] = [];
-	let goOn: (() => void) | undefined;
+	let resumeWriting: (() => void) | undefined;
 	const output = new Writable({
 		decodeStrings: false,
 		write(text: string, _encoding, callback) {
 			texts.push(text);
-			goOn = callback;
+			resumeWriting = callback;
 		},
 	});
 	return {
-		output, texts, readOn() {
-			goOn?.();
+		output, texts, resume() {
+			resumeWriting?.();
 		},
 	};
 }
 
-test('lines are gathered and written together', t => {
+test('lines are batched into one write', t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
 	const {output, texts} = createReader();
@@ -36,15 +36,15 @@
 	t.end();
 });
 
-test('a reader that stands still makes nobody wait: what went well is dropped first, and the drop is told of', async t => {
+test('while the reader is stalled, lines of answered requests are dropped first, and the number of dropped lines is logged', async t => {
 	const clock = new Clock();
 	t.teardown(clock.enter());
-	const {output, texts, readOn} = createReader();
+	const {output, texts, resume} = createReader();
 	const sink = createBoundedSink(output);
-	const well = `{"outcome":"answered","x":"${'x'.repeat(kilobyte)}"}\n`;
+	const answered = `{"outcome":"answered","x":"${'x'.repeat(kilobyte)}"}\n`;
 	const failed = `{"outcome":"broken-off","x":"${'x'.repeat(kilobyte)}"}\n`;
 	for (let index = 0; index < 1500; index++) {
-		sink.stream.write(well);
+		sink.stream.write(answered);
 	}
 
 	clock.advance(100);
@@ -53,15 +53,15 @@
 		sink.stream.write(failed);
 	}
 
-	readOn();
+	resume();
 	await new Promise(resolve => {
 		process.nextTick(resolve);
 	});
 	clock.advance(100);
 	const [first = '', second = ''] = texts;
-	t.ok(first.length < 1.1 * kilobyte * kilobyte, 'lines of what went well stop at the first bound');
+	t.ok(first.length < 1.1 * kilobyte * kilobyte, 'lines of answered requests stop at the first limit');
 	t.match(second, 'broken-off');
-	t.ok(first.length + second.length < 2.1 * kilobyte * kilobyte, 'all stop at the second');
+	t.ok(first.length + second.length < 2.1 * kilobyte * kilobyte, 'all lines stop at the second limit');
 	t.match(second, /"lines":\d+,"msg":"log-lines-dropped"/v);
 	t.end();
 });
