--- a/observe/metrics/src/create-metrics-page.ts
+++ b/observe/metrics/src/create-metrics-page.ts
@@ -3,7 +3,7 @@
 import type {MetricsPage} from './metrics-page.ts';
 
 /**
-Upper bounds of a histogram's buckets, in milliseconds: from a call on the own network to the longest wait of a caller.
+Upper bounds of a histogram's buckets, in milliseconds: from a call in the local network to the longest timeout of a caller.
 */
 const bucketsMs = [1, 2, 5, 10, 25, 50, 100, 150, 250, 500, 1000, 2000, 5000, 15_000];
 
@@ -13,7 +13,7 @@
 };
 
 /**
- Creates the page. A metric takes the tags of its first use as its labels.
+ Creates a page in the Prometheus text format. The tags of the first use of a metric define its labels.
 
  @example
  const page = createMetricsPage();
@@ -26,7 +26,7 @@
 	const histograms = new Map<string, Histogram>();
 
 	/**
-	Sums by name and tags. They become counters when the page is read: a message between nodes changes four of them.
+	Sums by name and tags. They are added to the counters only when the page is read, because counters are incremented often.
 	*/
 	const sums = new Map<string, Map<string, Sum>>();
 
--- a/observe/metrics/src/create-metrics.ts
+++ b/observe/metrics/src/create-metrics.ts
@@ -6,7 +6,7 @@
 const flushMs = 1000;
 
 /**
- Creates the counters of a process. They go out as StatsD datagrams and are summed up for status and tests.
+ Creates the metrics of a process. They are sent as StatsD datagrams; counters are also summed for status and tests.
 
  @example
  const metrics = createMetrics({host: '127.0.0.1', port: 8125, node: 'a1'});
--- a/observe/metrics/src/metrics-options.ts
+++ b/observe/metrics/src/metrics-options.ts
@@ -1,17 +1,17 @@
 import type {MetricsPage} from './metrics-page.ts';
 
 /**
-Options of `createMetrics`; without a host nothing is sent, only summed up.
+Options of `createMetrics`. Without a host nothing is sent.
 */
 export type MetricsOptions = {
 	/**
-	StatsD host, an IP number.
+	IP address of the StatsD host.
 	*/
 	readonly host?: string | undefined;
 	readonly port?: number | undefined;
 	readonly node?: string | undefined;
 	/**
-	Page that shows the same figures as text.
+	Page that serves the same metrics as text.
 	*/
 	readonly page?: MetricsPage;
 };
--- a/observe/metrics/src/metrics-page.ts
+++ b/observe/metrics/src/metrics-page.ts
@@ -1,7 +1,7 @@
 import type {MetricTags} from './metric-tags.ts';
 
 /**
-Counters and histograms as text, for whoever reads the node's metrics address.
+Counters and histograms in the Prometheus text format, served at the node's metrics address.
 */
 export type MetricsPage = {
 	readonly increment: (name: string, by: number, tags: MetricTags) => void;
--- a/observe/metrics/src/metrics.ts
+++ b/observe/metrics/src/metrics.ts
@@ -1,7 +1,7 @@
 import type {MetricTags} from './metric-tags.ts';
 
 /**
-Counters, gauges and times, sent on and summed up for this process.
+Counters, gauges and timings of this process.
 */
 export type Metrics = {
 	readonly increment: (name: string, by?: number, tags?: MetricTags) => void;
--- a/observe/metrics/test/metrics.test.ts
+++ b/observe/metrics/test/metrics.test.ts
@@ -3,7 +3,7 @@
 import {test} from 'tap';
 import {createMetrics} from '@valvesaddle/metrics';
 
-test('counters go out as StatsD datagrams with the node as a tag, and are summed up', async t => {
+test('counters are sent as StatsD datagrams with the node as a tag, and are summed', async t => {
 	const socket = createSocket('udp4');
 	socket.bind(0, '127.0.0.1');
 	await once(socket, 'listening');
@@ -21,7 +21,7 @@
 	t.same(metrics.totals(), {'requests.accepted': 3});
 });
 
-test('without a host nothing is sent and counters are still summed up', async t => {
+test('without a host nothing is sent and counters are still summed', async t => {
 	const metrics = createMetrics();
 	metrics.increment('a', 5);
 	metrics.timing('b', 1);
--- a/observe/tracing/src/create-tracing.ts
+++ b/observe/tracing/src/create-tracing.ts
@@ -22,17 +22,17 @@
 import type {TracingOptions} from './tracing-options.ts';
 
 const propagator = new W3CTraceContextPropagator();
-const passedOn = ['traceparent', 'tracestate'];
-const ignore = (): void => {
+const contextHeaders = ['traceparent', 'tracestate'];
+const noop = (): void => {
 	// Without an exporter there is nothing to record.
 };
 
-const silentHop: HopSpan = {
-	setAttribute: ignore, addEvent: ignore, fail: ignore, end: ignore, carrier: {},
+const noopHop: HopSpan = {
+	setAttribute: noop, addEvent: noop, fail: noop, end: noop, carrier: {},
 };
 
 /**
- Creates the tracing of a node. Without an exporter the caller's context is still passed on.
+ Creates the tracing of a node. Without an exporter the caller's trace context is still propagated.
 
  @example
  const hop = tracing.startHop('request', {traceparent: headers.traceparent});
@@ -41,7 +41,7 @@
 export function createTracing(options: TracingOptions): Tracing {
 	if (options.exporter === 'none') {
 		return {
-			startHop: (_name, parent) => ({...silentHop, carrier: pickContext(parent)}),
+			startHop: (_name, parent) => ({...noopHop, carrier: pickContext(parent)}),
 			finished: () => [],
 			async close() {
 				// There is nothing to flush.
@@ -107,5 +107,5 @@
 }
 
 function pickContext(parent: TraceCarrier): TraceCarrier {
-	return Object.fromEntries(passedOn.flatMap(name => parent[name] === undefined ? [] : [[name, parent[name]]]));
+	return Object.fromEntries(contextHeaders.flatMap(name => parent[name] === undefined ? [] : [[name, parent[name]]]));
 }
--- a/observe/tracing/src/finished-hop.ts
+++ b/observe/tracing/src/finished-hop.ts
@@ -1,5 +1,5 @@
 /**
-A finished span, as kept in memory.
+A finished span of the `memory` exporter.
 */
 export type FinishedHop = {
 	readonly name: string;
--- a/observe/tracing/src/hop-span.ts
+++ b/observe/tracing/src/hop-span.ts
@@ -9,7 +9,7 @@
 	readonly fail: (message: string) => void;
 	readonly end: () => void;
 	/**
-	Context to pass on, as headers.
+	Trace context to propagate, as headers.
 	*/
 	readonly carrier: TraceCarrier;
 };
--- a/observe/tracing/src/trace-carrier.ts
+++ b/observe/tracing/src/trace-carrier.ts
@@ -1,4 +1,4 @@
 /**
-W3C trace context in the form in which it goes over the wire.
+W3C trace context as headers.
 */
 export type TraceCarrier = Readonly<Record<string, string>>;
--- a/observe/tracing/src/tracing-options.ts
+++ b/observe/tracing/src/tracing-options.ts
@@ -4,7 +4,7 @@
 export type TracingOptions = {
 	readonly node: string;
 	/**
-	`otlp` sends spans to `url`; `memory` keeps the last ones for `status` and tests; `none` makes none.
+	`otlp` sends spans to `url`; `memory` keeps them for `status` and tests; `none` creates no spans.
 	*/
 	readonly exporter: 'none' | 'memory' | 'otlp';
 	/**
@@ -12,7 +12,7 @@
 	*/
 	readonly url?: string | undefined;
 	/**
-	Part of the traces that start here which are kept, 0 to 1.
+	Sampling ratio of traces that start at this node, 0 to 1.
 	*/
 	readonly ratio: number;
 };
--- a/observe/tracing/src/tracing.ts
+++ b/observe/tracing/src/tracing.ts
@@ -3,12 +3,12 @@
 import type {TraceCarrier} from './trace-carrier.ts';
 
 /**
-Makes a span for each hop of a request.
+Creates a span for each hop of a request.
 */
 export type Tracing = {
 	readonly startHop: (name: string, parent: TraceCarrier) => HopSpan;
 	/**
-	Spans that ended, with the `memory` exporter.
+	Finished spans; only with the `memory` exporter.
 	*/
 	readonly finished: () => readonly FinishedHop[];
 	readonly close: () => Promise<void>;
