--- a/core/http-server/src/close-server.ts
+++ b/core/http-server/src/close-server.ts
@@ -1,7 +1,7 @@
 import type {Server} from 'node:http';
 
 /**
- Stops a server and waits until its open requests have ended; does nothing when it does not listen.
+ Closes a server and waits until its open requests have ended. Does nothing if it is not listening.
 
  @example
  await closeServer(server);
--- a/core/ranking/src/rank-by-hash.ts
+++ b/core/ranking/src/rank-by-hash.ts
@@ -1,8 +1,8 @@
 import {hash} from 'node:crypto';
 
 /**
- Orders names by a hash together with a key, the same on every node (rendezvous hashing). A name that comes or goes moves
- only the keys that it gains or loses.
+ Orders names by the hash of key and name, the same on every node (rendezvous hashing). Adding or removing a name moves only the
+ keys that rank it first.
 
  Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998.
 
--- a/core/retry-after/src/parse-retry-after.ts
+++ b/core/retry-after/src/parse-retry-after.ts
@@ -2,8 +2,8 @@
 const secondsPattern = /^\d+(?:\.\d+)?$/v;
 
 /**
- Reads the `Retry-After` header of a refusal (RFC 9110, section 10.2.3), in milliseconds. A header that is repeated counts with its
- longest time; one that is no number of seconds counts as none.
+ Parses a `Retry-After` header (RFC 9110, section 10.2.3), in milliseconds. Of a repeated header the longest delay counts. Values
+ that are no number of seconds, such as dates, are ignored.
 
  @example
  parseRetryAfter('1.5'); // 1500
