--- a/cli/valvesaddle/build.ts
+++ b/cli/valvesaddle/build.ts
@@ -1,6 +1,6 @@
 /**
- Builds the one binary: bundles and the code compiled from them, put into a copy of the Node.js that runs this script as a single
- executable application. Output: `dist/valvesaddle`, or in the folder named as argument.
+ Builds the single executable application: a copy of the running Node.js binary with the bundles and their code caches as assets.
+ Output: `dist/valvesaddle`, or `valvesaddle` in the folder given as argument.
  */
 import {execFileSync} from 'node:child_process';
 import {
@@ -22,13 +22,13 @@
 const configFile = path.join(dist, 'sea.json');
 const chunks = ['gateway', 'program'] as const;
 /**
-Fixed by Node.js: marks the place of the blob in its binary.
+Sentinel that marks the position of the blob in a Node.js binary; fixed by Node.js.
 */
-const fuse = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
+const sentinelFuse = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
 
 /**
-One thread for all of the engine's work, and a small space for new objects that stays in the processor's caches: on VMs with a part of
-one core helper threads only take turns with it.
+V8 flags for VMs with a fraction of a core: no helper threads, which would only compete for that core, and a young generation that fits
+into the processor's caches.
 */
 const execArgv = ['--single-threaded', '--min-semi-space-size=4', '--max-semi-space-size=4'];
 
@@ -49,10 +49,10 @@
 	main: boot, output: blob, assets, disableExperimentalSEAWarning: true, useCodeCache: false, execArgv, execArgvExtension: 'env',
 }));
 execFileSync(process.execPath, ['--experimental-sea-config', configFile], {stdio: 'inherit'});
-// A binary that runs cannot be written over.
+// A running binary cannot be overwritten, only removed.
 rmSync(binary, {force: true});
 copyFileSync(process.execPath, binary);
 chmodSync(binary, 0o755);
 execFileSync(process.execPath, [
-	path.join(root, 'node_modules/postject/dist/cli.js'), binary, 'NODE_SEA_BLOB', blob, '--sentinel-fuse', fuse,
+	path.join(root, 'node_modules/postject/dist/cli.js'), binary, 'NODE_SEA_BLOB', blob, '--sentinel-fuse', sentinelFuse,
 ], {stdio: 'inherit'});
--- a/cli/valvesaddle/build/bundle-chunk.ts
+++ b/cli/valvesaddle/build/bundle-chunk.ts
@@ -6,7 +6,7 @@
 	readonly name: ChunkName | 'boot';
 	readonly outfile: string;
 	/**
-	Whether names are kept long, for profiles that are read.
+	Whether the bundle is not minified, for profiles.
 	*/
 	readonly isReadable?: boolean;
 };
@@ -19,17 +19,17 @@
 };
 
 /**
-Parts of the runtime that libraries ask for at their start, and that a gateway node uses rarely or never.
+Built-in modules that libraries import at startup, but a gateway node uses rarely or never.
 */
 const rareBuiltins = 'cluster|dgram|dns|https|module|perf_hooks|tls|tty|v8|worker_threads|zlib';
 
 /**
-Leaves out what a gateway node never uses of a library, and loads with its first use what it uses rarely.
+Drops the parts of libraries that a gateway node never uses, and loads rarely used built-in modules lazily.
 */
 const smallLibraries: Plugin = {
 	name: 'small-libraries',
 	setup({onResolve, onLoad}) {
-		/* eslint-disable require-unicode-regexp -- the bundler reads them in Go's form */
+		/* eslint-disable require-unicode-regexp -- esbuild uses Go's regular expressions */
 		onResolve({filter: /^undici$/}, () => ({path: path.join(import.meta.dirname, 'undici-parts.cjs')}));
 		onResolve({filter: /client-h2\.js$/}, () => ({path: path.join(import.meta.dirname, 'no-http2.cjs')}));
 		onResolve({filter: new RegExp(`^(?:node:)?(?:${rareBuiltins})$`)}, ({path: id, kind}) => kind === 'require-call' ? {path: id, namespace: 'rare-builtin'} : undefined);
@@ -42,7 +42,7 @@
 const plugins: Readonly<Partial<Record<BundleOptions['name'], Plugin[]>>> = {gateway: [smallLibraries]};
 
 /**
- Bundles a part of the program with its libraries into one file in CommonJS.
+ Bundles a chunk of the program with its dependencies into one CommonJS file.
 
  @example
  await bundleChunk({name: 'gateway', outfile: 'dist/gateway.cjs'});
@@ -55,7 +55,7 @@
 		platform: 'node',
 		target: 'node24',
 		format: 'cjs',
-		// Optional parts of libraries that are not used.
+		// Optional dependencies that are not installed.
 		external: ['unix-dgram', 'bufferutil', 'utf-8-validate'],
 		minify: !isReadable,
 		keepNames: true,
--- a/cli/valvesaddle/build/compile-chunk.ts
+++ b/cli/valvesaddle/build/compile-chunk.ts
@@ -1,8 +1,7 @@
 /**
- Loads a bundle, uses it, and writes the code that the runtime has compiled by then. Run with the binary's flags: code compiled
- under others is not taken.
+ Loads a bundle, warms it up, and writes V8's code cache. Must run with the V8 flags of the binary; V8 rejects a cache made with others.
 
- Words: the bundle's name, its file, the file for the code, a folder for settings.
+ Arguments: name of the chunk, file of the bundle, output file of the cache, folder for settings files.
  */
 import {readFileSync, writeFileSync} from 'node:fs';
 import process from 'node:process';
@@ -10,14 +9,14 @@
 import {readChunk} from '../src/read-chunk.ts';
 import {warmUpGateway} from './warm-up-gateway.ts';
 
-const uses: Readonly<Record<string, (chunk: Chunk, folder: string) => Promise<void>>> = {gateway: warmUpGateway};
+const warmUps: Readonly<Record<string, (chunk: Chunk, folder: string) => Promise<void>>> = {gateway: warmUpGateway};
 
 const [name = '', bundle = '', cacheFile = '', folder = ''] = process.argv.slice(2);
 const {chunk, createCache} = readChunk({name, source: readFileSync(bundle, 'latin1'), cachedData: undefined});
 try {
-	await uses[name]?.(chunk, folder);
+	await warmUps[name]?.(chunk, folder);
 } catch (error) {
-	// The binary works without: its nodes compile at each start what is missing.
+	// The binary works without a warm cache: missing functions are compiled at each start.
 	console.warn(`the bundle ${name} could not be warmed up:`, error);
 }
 
--- a/cli/valvesaddle/build/no-http2.cjs
+++ b/cli/valvesaddle/build/no-http2.cjs
@@ -1,6 +1,6 @@
 /**
- Stands for the HTTP/2 side of `undici` in the bundle of a gateway node, which speaks HTTP/1.1 only. The runtime's own part for
- HTTP/2, which it would load, takes time and memory at each start.
+ Replaces the HTTP/2 client of `undici` in the bundle of a gateway node, which only uses HTTP/1.1. Loading `node:http2` would cost
+ startup time and memory.
  */
 'use strict';
 
--- a/cli/valvesaddle/build/undici-parts.cjs
+++ b/cli/valvesaddle/build/undici-parts.cjs
@@ -1,6 +1,5 @@
 /**
- Stands for `undici` in the bundle of a gateway node: each part is loaded when it is first used, and what a gateway never uses, two
- thirds of the library, stays out.
+ Replaces `undici` in the bundle of a gateway node: loads each part on first use and leaves out what a gateway never uses.
  */
 'use strict';
 
@@ -8,7 +7,7 @@
 	Client: () => require('undici/lib/dispatcher/client.js'),
 	Pool() {
 		const Dispatcher = require('undici/lib/dispatcher/dispatcher.js');
-		// The library's index adds it in the same way.
+		// As in the index of `undici`.
 		Dispatcher.prototype.request ??= require('undici/lib/api/api-request.js');
 		return require('undici/lib/dispatcher/pool.js');
 	},
--- a/cli/valvesaddle/build/warm-up-gateway.ts
+++ b/cli/valvesaddle/build/warm-up-gateway.ts
@@ -9,17 +9,17 @@
 import type {Chunk} from '../src/chunk.ts';
 
 /**
-Nodes, enough that they tell each other of their work; requests, and events of an answer.
+Number of nodes, enough to exchange load updates; of requests; and of events of an answer.
 */
 const nodes = 3;
 const requests = 200;
 const events = 8;
 const addressesPerNode = 3;
 /**
-Longest wait for the nodes to serve, and the pause between two tries, in milliseconds.
+Timeout until all nodes serve, and the interval between two attempts, in milliseconds.
 */
-const readyMs = 20_000;
-const tryMs = 50;
+const readyTimeoutMs = 20_000;
+const attemptIntervalMs = 50;
 const host = 'warm.example';
 const route = {
 	host, 'max-attempts': 2, public: true, 'timeout-ms': 12_000, 'target-latency-ms': 250, priority: 0,
@@ -39,10 +39,10 @@
 };
 
 /**
- Runs gateway nodes and serves requests with them, so that the runtime has compiled both their start and the path of a request.
- They end with the process.
+ Runs gateway nodes and sends requests through them, so that startup and request path are compiled. The nodes run until the process
+ exits.
 
- @throws When the nodes do not serve.
+ @throws When the nodes do not serve in time.
  @example
  await warmUpGateway(chunk, '/tmp/build');
  */
@@ -62,7 +62,7 @@
 	}));
 	await waitUntilServing(callers);
 	for (let index = 0; index < requests; index++) {
-		// eslint-disable-next-line no-await-in-loop -- one after the other, to one node after the other
+		// eslint-disable-next-line no-await-in-loop -- sequential, round robin over the nodes
 		await wasServed(callers, index);
 	}
 }
@@ -121,29 +121,29 @@
 		await body.text();
 		return statusCode === 200;
 	} catch {
-		// The node does not listen yet.
+		// The node is not listening yet.
 		return false;
 	}
 }
 
 async function waitUntilServing(callers: readonly string[]): Promise<void> {
-	const limitAt = performance.now() + readyMs;
-	while (performance.now() < limitAt) {
-		// eslint-disable-next-line no-await-in-loop -- one try after the other
+	const deadlineAt = performance.now() + readyTimeoutMs;
+	while (performance.now() < deadlineAt) {
+		// eslint-disable-next-line no-await-in-loop -- attempts are sequential
 		const served = await Promise.all(callers.map(async (_caller, index) => wasServed(callers, index)));
 		if (served.every(Boolean)) {
 			return;
 		}
 
-		// eslint-disable-next-line no-await-in-loop -- the pause between two tries
-		await wait(tryMs);
+		// eslint-disable-next-line no-await-in-loop -- interval between two attempts
+		await wait(attemptIntervalMs);
 	}
 
-	throw new Error(`not all of ${nodes} nodes served within ${readyMs} ms`);
+	throw new Error(`not all of ${nodes} nodes served within ${readyTimeoutMs} ms`);
 }
 
 /**
-All are held until the last one is found, so that none comes twice.
+Keeps all ports open until the last one is found, so that they are distinct.
 */
 async function findAddresses(): Promise<readonly string[]> {
 	const servers = Array.from({length: nodes * addressesPerNode}, () => createServer());
--- a/cli/valvesaddle/src/binary-main.ts
+++ b/cli/valvesaddle/src/binary-main.ts
@@ -1,5 +1,5 @@
 /**
- What the binary runs first: it loads the part of the program that the command needs, with the code compiled at build time.
+ Entry point of the binary: loads the chunk that the command needs, with its code cache.
  */
 import {Buffer} from 'node:buffer';
 import process from 'node:process';
@@ -7,14 +7,14 @@
 import {chooseChunk} from './choose-chunk.ts';
 import {readChunk} from './read-chunk.ts';
 
-const words = process.argv.slice(2);
-const name = chooseChunk(words);
+const argv = process.argv.slice(2);
+const name = chooseChunk(argv);
 const {chunk} = readChunk({
 	name,
 	source: Buffer.from(getRawAsset(`${name}.cjs`)).toString('latin1'),
 	cachedData: Buffer.from(getRawAsset(`${name}.cache`)),
 });
-// The binary's first script is in CommonJS, which knows no await at the top.
-void chunk.run(words).then(code => {
+// The entry point of the binary is CommonJS, which has no top-level await.
+void chunk.run(argv).then(code => {
 	process.exit(code);
 });
--- a/cli/valvesaddle/src/chunk-name.ts
+++ b/cli/valvesaddle/src/chunk-name.ts
@@ -1,4 +1,4 @@
 /**
-Parts of the program that are bundled and loaded alone.
+Chunks of the program, bundled and loaded separately.
 */
 export type ChunkName = 'gateway' | 'program';
--- a/cli/valvesaddle/src/chunk.ts
+++ b/cli/valvesaddle/src/chunk.ts
@@ -1,9 +1,9 @@
 /**
-What a part of the program exports.
+Exports of a chunk of the program.
 */
 export type Chunk = {
 	/**
 	Runs a command; resolves to the exit code.
 	*/
-	readonly run: (words: readonly string[]) => Promise<number>;
+	readonly run: (argv: readonly string[]) => Promise<number>;
 };
--- a/cli/valvesaddle/src/config-diff-command.ts
+++ b/cli/valvesaddle/src/config-diff-command.ts
@@ -4,7 +4,7 @@
 import {readConfigurationFile} from './read-configuration-file.ts';
 
 /**
-`valvesaddle config diff`: compares a file with what is in force.
+`valvesaddle config diff`: compares a file with the active configuration.
 */
 export class ConfigDiffCommand extends OperatorCommand {
 	static override readonly paths = [['config', 'diff']];
--- a/cli/valvesaddle/src/dev-command.ts
+++ b/cli/valvesaddle/src/dev-command.ts
@@ -6,7 +6,7 @@
 import {sendChat} from './send-chat.ts';
 
 /**
-`valvesaddle dev`: a whole fleet in one process, to try things out.
+`valvesaddle dev`: runs a fleet in one process, for development.
 */
 export class DevCommand extends BaseCommand {
 	static override readonly paths = [['dev']];
--- a/cli/valvesaddle/src/find-settings-file.ts
+++ b/cli/valvesaddle/src/find-settings-file.ts
@@ -1,12 +1,12 @@
 const settingsOption = '--settings';
 
 /**
- Settings file that the words of `gateway` name; `undefined` when they name none.
+ Settings file in the arguments of `gateway`, `undefined` without one.
 
  @example
  findSettingsFile(['gateway', '--settings', 'gateway.toml']); // 'gateway.toml'
  */
-export function findSettingsFile(words: readonly string[]): string | undefined {
-	const index = words.indexOf(settingsOption);
-	return index === -1 ? undefined : words[index + 1];
+export function findSettingsFile(argv: readonly string[]): string | undefined {
+	const index = argv.indexOf(settingsOption);
+	return index === -1 ? undefined : argv[index + 1];
 }
--- a/cli/valvesaddle/src/gateway-chunk.ts
+++ b/cli/valvesaddle/src/gateway-chunk.ts
@@ -5,20 +5,20 @@
 import {runGateway} from './run-gateway.ts';
 
 /**
- Runs a gateway node from its plain words, without the parser of commands: what a node on the platform loads.
+ Runs a gateway node without the command parser.
 
  @example
  await run(['gateway', '--settings', 'gateway.toml']);
  */
-export async function run(words: readonly string[]): Promise<number> {
-	// A reader that has seen enough, such as `head`, is no failure.
+export async function run(argv: readonly string[]): Promise<number> {
+	// A closed pipe, such as of `head`, is no failure.
 	process.stdout.on('error', () => {
 		process.exit();
 	});
-	// A node checks few settings and entries: compiling a check for each form would cost its start more than that ever saves.
+	// A node validates few settings and entries, so compiling the schemas would cost more startup time than it saves.
 	z.config({jitless: true});
 	try {
-		return await runGateway(findSettingsFile(words) ?? process.env.VALVESADDLE_SETTINGS);
+		return await runGateway(findSettingsFile(argv) ?? process.env.VALVESADDLE_SETTINGS);
 	} catch (error) {
 		const {text, exitCode} = toFailure(error);
 		process.stderr.write(text);
--- a/cli/valvesaddle/src/hash-key-command.ts
+++ b/cli/valvesaddle/src/hash-key-command.ts
@@ -5,7 +5,7 @@
 import {exitCodes} from './exit-codes.ts';
 
 /**
-`valvesaddle hash-key`: the hash under which a key is kept.
+`valvesaddle hash-key`: prints the hash of a key or token.
 */
 export class HashKeyCommand extends BaseCommand {
 	static override readonly paths = [['hash-key']];
--- a/cli/valvesaddle/src/list-request-lines.ts
+++ b/cli/valvesaddle/src/list-request-lines.ts
@@ -1,6 +1,6 @@
 /**
- Lines about a request from several logs, in order of time. Text before a line's object, such as a prefix of a log
- collector, is dropped; what is no object is passed over.
+ Log lines of a request from several logs, in order of time. Text before the JSON object of a line, such as the prefix of a log
+ collector, is removed; lines without one are skipped.
 
  @example
  listRequestLines('9c41', ['{"time":1,"request":"9c41","msg":"request-admitted"}\n']);
--- a/cli/valvesaddle/src/main.ts
+++ b/cli/valvesaddle/src/main.ts
@@ -8,6 +8,6 @@
 	program: async () => import('./program-chunk.ts'),
 };
 
-const words = process.argv.slice(2);
-const {run} = await chunks[chooseChunk(words)]();
-process.exit(await run(words));
+const argv = process.argv.slice(2);
+const {run} = await chunks[chooseChunk(argv)]();
+process.exit(await run(argv));
--- a/cli/valvesaddle/src/plain-command.ts
+++ b/cli/valvesaddle/src/plain-command.ts
@@ -2,7 +2,7 @@
 import {toFailure} from './to-failure.ts';
 
 /**
-A command that prints failures with their code and hint instead of a stack.
+A command that prints errors with code and hint instead of a stack trace.
 */
 export abstract class PlainCommand extends Command {
 	abstract run(): Promise<number>;
--- a/cli/valvesaddle/src/program-chunk.ts
+++ b/cli/valvesaddle/src/program-chunk.ts
@@ -7,6 +7,6 @@
  @example
  await run(['status', '--node', '127.0.0.1:7400']);
  */
-export async function run(words: readonly string[]): Promise<number> {
-	return runCommands(mainCommands, words);
+export async function run(argv: readonly string[]): Promise<number> {
+	return runCommands(mainCommands, argv);
 }
--- a/cli/valvesaddle/src/read-chunk.ts
+++ b/cli/valvesaddle/src/read-chunk.ts
@@ -2,14 +2,14 @@
 import {Script} from 'node:vm';
 import type {Chunk} from './chunk.ts';
 
-type LoadOptions = {
+type ReadChunkOptions = {
 	readonly name: string;
 	/**
-	The chunk's bundle, in CommonJS.
+	The chunk's CommonJS bundle.
 	*/
 	readonly source: string;
 	/**
-	Code compiled before from the same source, with the same runtime and flags; another is passed over.
+	V8 code cache of the same source, runtime and flags; any other is ignored.
 	*/
 	readonly cachedData: Uint8Array | undefined;
 };
@@ -17,7 +17,7 @@
 type LoadedChunk = {
 	readonly chunk: Chunk;
 	/**
-	The code compiled so far.
+	Creates a code cache of the functions compiled so far.
 	*/
 	readonly createCache: () => Uint8Array;
 };
@@ -29,13 +29,13 @@
 type Require = (id: string) => unknown;
 
 /**
- Loads a part of the program from its bundle.
+ Loads a chunk of the program from its bundle.
 
  @example
  const {chunk} = readChunk({name: 'gateway', source, cachedData: undefined});
  await chunk.run(['gateway']);
  */
-export function readChunk({name, source, cachedData}: LoadOptions): LoadedChunk {
+export function readChunk({name, source, cachedData}: ReadChunkOptions): LoadedChunk {
 	const script = new Script(`(function (exports, require, module) {${source}\n})`, {filename: `${name}.cjs`, ...(cachedData && {cachedData})});
 	const define = script.runInThisContext() as (exports: unknown, require: Require, module: ChunkModule) => void;
 	const module: ChunkModule = {exports: {run: failRun}};
@@ -48,7 +48,7 @@
 }
 
 /**
-A bundle holds its libraries; what it still asks for is the runtime's, or an optional part that is left out.
+Resolves imports that are not in the bundle: built-in modules, or optional dependencies, which are missing.
 */
 function getBuiltin(id: string): unknown {
 	const found = process.getBuiltinModule(id) as unknown;
--- a/cli/valvesaddle/src/read-configuration-file.ts
+++ b/cli/valvesaddle/src/read-configuration-file.ts
@@ -6,7 +6,7 @@
 /**
  Reads a configuration from a JSON file.
 
- @throws `ERR_VALVESADDLE_CONFIGURATION_INVALID` when it has not the form of the schema.
+ @throws `ERR_VALVESADDLE_CONFIGURATION_INVALID` when it does not match the schema.
  @example
  const configuration = await readConfigurationFile('configuration.json');
  */
--- a/cli/valvesaddle/src/run-commands.ts
+++ b/cli/valvesaddle/src/run-commands.ts
@@ -2,13 +2,13 @@
 import {Cli, type CommandClass} from 'clipanion';
 
 /**
- Runs the command that the words name; resolves to the exit code.
+ Runs the command that the arguments name; resolves to the exit code.
 
  @example
  await runCommands([GatewayCommand], ['gateway', '--settings', 'gateway.toml']);
  */
-export async function runCommands(commands: readonly CommandClass[], words: readonly string[]): Promise<number> {
-	// A reader that has seen enough, such as `head`, is no failure.
+export async function runCommands(commands: readonly CommandClass[], argv: readonly string[]): Promise<number> {
+	// A closed pipe, such as of `head`, is no failure.
 	process.stdout.on('error', () => {
 		process.exit();
 	});
@@ -17,5 +17,5 @@
 		cli.register(command);
 	}
 
-	return cli.run([...words]);
+	return cli.run([...argv]);
 }
--- a/cli/valvesaddle/src/run-gateway.ts
+++ b/cli/valvesaddle/src/run-gateway.ts
@@ -7,10 +7,10 @@
 import {runUntilSignal} from './run-until-signal.ts';
 
 /**
- Runs a gateway node until it is told to leave; resolves to the exit code. SIGHUP reads the settings anew.
+ Runs a gateway node until SIGTERM or SIGINT; resolves to the exit code. SIGHUP reloads the settings.
 
  @param file - Settings in TOML.
- @throws `ERR_VALVESADDLE_SETTINGS_INVALID`, or the system's error when the settings or an address cannot be had.
+ @throws `ERR_VALVESADDLE_SETTINGS_INVALID`, or the system's error when the settings file cannot be read or an address is not available.
  @example
  await runGateway('gateway.toml');
  */
@@ -30,7 +30,7 @@
 }
 
 /**
-Reads them at once: the runtime's promises of files would cost each start more than the small file does.
+Reads synchronously, since loading `node:fs/promises` costs more startup time than reading the small file.
 */
 function readSettings(file: string | undefined): GatewaySettings {
 	if (file === undefined) {
--- a/cli/valvesaddle/src/send-chat-options.ts
+++ b/cli/valvesaddle/src/send-chat-options.ts
@@ -1,5 +1,5 @@
 /**
-What to send, where to, and where the answer goes.
+Options of `sendChat`.
 */
 export type SendChatOptions = {
 	readonly url: string;
@@ -10,7 +10,7 @@
 	readonly tokens?: number | undefined;
 	readonly idempotencyKey?: string | undefined;
 	/**
-	Takes the answer as it comes.
+	Called with each part of the answer as it arrives.
 	*/
 	readonly write: (text: string) => void;
 };
--- a/cli/valvesaddle/src/send-chat.ts
+++ b/cli/valvesaddle/src/send-chat.ts
@@ -5,9 +5,9 @@
 import {isErrorCode, ValvesaddleError} from '@valvesaddle/error';
 import type {SendChatOptions} from './send-chat-options.ts';
 
-const mostReconnects = 5;
-const reconnectPauseMs = 200;
-const endMark = '[DONE]';
+const maximumReconnects = 5;
+const reconnectDelayMs = 200;
+const endOfStream = '[DONE]';
 const chunkSchema = z.object({choices: z.array(z.object({delta: z.object({content: z.string().optional()})}))});
 const errorSchema = z.object({error: z.object({code: z.string(), message: z.string()})});
 
@@ -18,8 +18,8 @@
 };
 
 /**
- Sends a chat completion as a caller and writes the answer as it streams. A broken connection is taken up again where
- it broke: by the last event id, or, when the node is gone, by sending the request again with the answer so far.
+ Sends a chat completion as a caller and writes the answer as it streams. After a broken connection it resumes by the last event
+ id or, if the node does not have the answer, by sending the request again with the answer so far.
 
  @returns The whole answer.
  @throws `ValvesaddleError` with the code of the refusal.
@@ -28,17 +28,17 @@
  */
 export async function sendChat(options: SendChatOptions): Promise<string> {
 	const position: Position = {lastEventId: '', text: '', isDone: false};
-	for (let attempt = 0; !position.isDone && attempt <= mostReconnects; attempt++) {
+	for (let attempt = 0; !position.isDone && attempt <= maximumReconnects; attempt++) {
 		try {
-			// eslint-disable-next-line no-await-in-loop -- a try follows on the one before
+			// eslint-disable-next-line no-await-in-loop -- attempts are sequential
 			await readAnswer(await open(options, position), options, position);
 		} catch (error) {
-			if (attempt === mostReconnects || error instanceof ValvesaddleError) {
+			if (attempt === maximumReconnects || error instanceof ValvesaddleError) {
 				throw error;
 			}
 
-			// eslint-disable-next-line no-await-in-loop -- a try follows on the one before
-			await delay(reconnectPauseMs);
+			// eslint-disable-next-line no-await-in-loop -- attempts are sequential
+			await delay(reconnectDelayMs);
 		}
 	}
 
@@ -86,7 +86,7 @@
 		onEvent({data, id, event}) {
 			if (event === 'error') {
 				failure = toError(data);
-			} else if (data === endMark) {
+			} else if (data === endOfStream) {
 				position.isDone = true;
 			} else {
 				const content = chunkSchema.parse(JSON.parse(data)).choices[0]?.delta.content ?? '';
--- a/cli/valvesaddle/src/send-command.ts
+++ b/cli/valvesaddle/src/send-command.ts
@@ -4,7 +4,7 @@
 import {sendChat} from './send-chat.ts';
 
 /**
-`valvesaddle send`: a caller's client that shows the stream.
+`valvesaddle send`: sends a chat completion and prints the stream.
 */
 export class SendCommand extends BaseCommand {
 	static override readonly paths = [['send']];
--- a/cli/valvesaddle/src/serve-command.ts
+++ b/cli/valvesaddle/src/serve-command.ts
@@ -6,7 +6,7 @@
 import {runUntilSignal} from './run-until-signal.ts';
 
 /**
-`valvesaddle serve`: runs a router node until it is told to leave.
+`valvesaddle serve`: runs a router node until SIGTERM or SIGINT.
 */
 export class ServeCommand extends BaseCommand {
 	static override readonly paths = [['serve']];
--- a/cli/valvesaddle/src/stand-in-command.ts
+++ b/cli/valvesaddle/src/stand-in-command.ts
@@ -9,12 +9,12 @@
 import {exitCodes} from './exit-codes.ts';
 import {runUntilSignal} from './run-until-signal.ts';
 
-type Place = {
+type ListenAddress = {
 	readonly host: string;
 	readonly port: number;
 };
 
-const starters: Readonly<Record<string, (place: Place) => Promise<FakeServer>>> = {
+const starters: Readonly<Record<string, (address: ListenAddress) => Promise<FakeServer>>> = {
 	kv: startFakeKv,
 	'vm-list': startFakeVmList,
 	engine: startFakeEngine,
@@ -22,7 +22,7 @@
 };
 
 /**
-`valvesaddle stand-in`: runs one stand-in as a process of its own.
+`valvesaddle stand-in`: runs a fake of an external service as a process.
 */
 export class StandInCommand extends BaseCommand {
 	static override readonly paths = [['stand-in']];
--- a/cli/valvesaddle/src/status-command.ts
+++ b/cli/valvesaddle/src/status-command.ts
@@ -3,7 +3,7 @@
 import {OperatorCommand} from './operator-command.ts';
 
 /**
-`valvesaddle status`: shows what a node sees.
+`valvesaddle status`: shows the state of a node.
 */
 export class StatusCommand extends OperatorCommand {
 	static override readonly paths = [['status']];
--- a/cli/valvesaddle/src/to-failure.ts
+++ b/cli/valvesaddle/src/to-failure.ts
@@ -3,14 +3,14 @@
 
 type Failure = {
 	/**
-	Code, message and hint, with an end of line.
+	Code, message and hint, with a final newline.
 	*/
 	readonly text: string;
 	readonly exitCode: number;
 };
 
 /**
- Describes why a command failed: its code and hint in place of a stack.
+ Formats a command's error with code and hint instead of a stack trace.
 
  @example
  toFailure(new ValvesaddleError('ERR_VALVESADDLE_SETTINGS_INVALID', 'no file')).exitCode; // 2
--- a/cli/valvesaddle/src/trace-command.ts
+++ b/cli/valvesaddle/src/trace-command.ts
@@ -6,7 +6,7 @@
 import {PlainCommand} from './plain-command.ts';
 
 /**
-`valvesaddle trace`: gathers the lines about one request from the logs of several nodes.
+`valvesaddle trace`: prints the log lines of one request from several nodes.
 */
 export class TraceCommand extends PlainCommand {
 	static override readonly paths = [['trace']];
--- a/cli/valvesaddle/test/chunks.test.ts
+++ b/cli/valvesaddle/test/chunks.test.ts
@@ -1,13 +1,12 @@
 /*
-A node on the platform loads only what it runs; whatever is not plain goes to the parser of commands. A bundle that is loaded with
-code compiled before behaves like one without.
+Guards against loading the wrong chunk for a command, and against a stale code cache that changes how a bundle runs.
 */
 import {test} from 'tap';
 import {chooseChunk} from '../src/choose-chunk.ts';
 import {findSettingsFile} from '../src/find-settings-file.ts';
 import {readChunk} from '../src/read-chunk.ts';
 
-for (const [words, name] of [
+for (const [command, name] of [
 	['gateway', 'gateway'],
 	['gateway --settings a.toml', 'gateway'],
 	['gateway --help', 'program'],
@@ -16,13 +15,13 @@
 	['status', 'program'],
 	['', 'program'],
 ] as const) {
-	test(`${JSON.stringify(words)} is run by the ${name} part`, t => {
-		t.equal(chooseChunk(words === '' ? [] : words.split(' ')), name);
+	test(`${JSON.stringify(command)} is run by the ${name} chunk`, t => {
+		t.equal(chooseChunk(command === '' ? [] : command.split(' ')), name);
 		t.end();
 	});
 }
 
-test('the settings file is the word after its option', t => {
+test('the settings file is the argument after its option', t => {
 	t.equal(findSettingsFile(['gateway', '--settings', 'a.toml']), 'a.toml');
 	t.equal(findSettingsFile(['gateway']), undefined);
 	t.end();
@@ -40,7 +39,7 @@
 	};
 `;
 
-test('a bundle is loaded with the code compiled before, and without when that is of another bundle', async t => {
+test('a bundle is loaded with its code cache, and without it if the cache is of another bundle', async t => {
 	const first = readChunk({name: 'small', source, cachedData: undefined});
 	t.equal(await first.chunk.run(['/a/bcd']), 3);
 	const cachedData = first.createCache();
@@ -48,7 +47,7 @@
 	t.equal(await readChunk({name: 'small', source: `${source};`, cachedData}).chunk.run(['/a/bcd']), 3);
 });
 
-test('a library learns that its optional part is not there', t => {
+test('requiring a missing optional dependency throws MODULE_NOT_FOUND', t => {
 	const {chunk} = readChunk({name: 'small', source, cachedData: undefined});
 	t.equal((chunk as unknown as {tryOptional: () => string}).tryOptional(), 'MODULE_NOT_FOUND');
 	t.end();
--- a/cli/valvesaddle/test/commands.test.ts
+++ b/cli/valvesaddle/test/commands.test.ts
@@ -26,7 +26,7 @@
 	return {...fleet, operator: ['--node', `http://${fleet.nodes[0]!.operators}`, '--token', fleetKeys.editor]};
 }
 
-test('check-settings names every fault and exits with 2', async t => {
+test('check-settings reports every error and exits with 2', async t => {
 	const folder = t.testdir({
 		'good.toml': '[node]\nid = "a1"\ndata_centre = "d"\nregion = "r"\n[peer]\ntoken = "0123456789abcdef"\n[platform]\nkv_urls = ["http://10.0.0.9:8500"]\n',
 		'bad.toml': '[node]\nid = "A"\n',
@@ -62,7 +62,7 @@
 	t.equal(first.stdout, stdout);
 });
 
-test('a file that is not a configuration is refused with 2, and nothing is changed', async t => {
+test('an invalid configuration file is refused with exit code 2 and changes nothing', async t => {
 	const {operator, nodes} = await start(t);
 	const folder = t.testdir({'form.json': '{"clases": []}', 'faults.json': '{"endpoints": [{"id": "e1", "pool": "none", "url": "http://10.0.0.1"}]}'});
 	for (const name of ['form.json', 'faults.json']) {
@@ -74,7 +74,7 @@
 	t.equal(nodes[0]!.router.status().revision, 1);
 });
 
-test('status shows the node and what it dispatches, send shows the answer, drain lets the node go', async t => {
+test('status shows the node and its pools, send prints the answer, drain shuts the node down', async t => {
 	const {operator, nodes} = await start(t);
 	const sent = await runCommand(SendCommand, ['send', '--url', `http://${nodes[0]!.callers}`, '--key', fleetKeys.caller, '--model', 'drafting', '--tokens', '3', 'Is box 7 cleared?']);
 	t.match(sent, {code: 0, stdout: 't0 t1 t2 \n'});
@@ -83,7 +83,7 @@
 	await waitUntil(() => nodes[0]!.router.status().state === 'draining');
 });
 
-test('a refusal and an unknown stand-in are told with code and hint', async t => {
+test('a refusal and an unknown stand-in are printed with code and hint', async t => {
 	const {nodes} = await start(t);
 	const refused = await runCommand(SendCommand, ['send', '--url', `http://${nodes[0]!.callers}`, '--key', 'wrong', '--model', 'drafting', 'x']);
 	t.match(refused, {code: 2, stderr: /ERR_VALVESADDLE_UNAUTHENTICATED[\s\S]*Hint: /v});
--- a/cli/valvesaddle/test/list-request-lines.test.ts
+++ b/cli/valvesaddle/test/list-request-lines.test.ts
@@ -5,7 +5,7 @@
 	return JSON.stringify({time, request, msg: message});
 }
 
-test('lines of one request come from all nodes in order of time, and no others', t => {
+test('lists the lines of one request from all nodes in order of time', t => {
 	const first = `-11.5 node-a ${formatLine(3, 'r1', 'request-sent')}\n${formatLine(1, 'r2', 'request-admitted')}\nno object with r1\n`;
 	const second = `${formatLine(2, 'r1', 'request-admitted')}\n${formatLine(9, 'r11', 'request-ended')}\n${formatLine(4, 'r1', 'request-ended')}`;
 	t.same(listRequestLines('r1', [first, second]), [
--- a/cli/valvesaddle/test/run-command.ts
+++ b/cli/valvesaddle/test/run-command.ts
@@ -2,7 +2,7 @@
 import {Cli, type CommandClass} from 'clipanion';
 
 /**
-What a command printed and how it ended.
+Output and exit code of a command.
 */
 export type CommandResult = {
 	readonly code: number;
@@ -16,17 +16,17 @@
 };
 
 /**
- Runs one command as the command line would.
+ Runs one command with the given arguments and standard input.
 
  @example
  const {code} = await runCommand(HashKeyCommand, ['hash-key'], 'secret');
  */
-export async function runCommand(command: CommandClass, words: readonly string[], input = ''): Promise<CommandResult> {
+export async function runCommand(command: CommandClass, argv: readonly string[], input = ''): Promise<CommandResult> {
 	const cli = new Cli();
 	cli.register(command);
 	const stdout = createSink();
 	const stderr = createSink();
-	const code = await cli.run([...words], {
+	const code = await cli.run([...argv], {
 		stdin: Readable.from([input]), stdout: stdout.stream, stderr: stderr.stream, env: {},
 	});
 	return {code, stdout: stdout.read(), stderr: stderr.read()};
