--- a/caller/api/src/error-body.ts
+++ b/caller/api/src/error-body.ts
@@ -1,4 +1,4 @@
-import type {ErrorCode, Ran} from '@valvesaddle/error';
+import type {ErrorCode, ExecutionStatus} from '@valvesaddle/error';
 
 /**
 Body of every error reply and error event.
@@ -11,7 +11,7 @@
 		/**
 		Whether the request ran.
 		*/
-		readonly ran: Ran;
+		readonly ran: ExecutionStatus;
 		readonly retryable: boolean;
 		readonly retry_after_ms: number | undefined;
 		readonly request_id: string;
--- a/core/error/src/error-traits.ts
+++ b/core/error/src/error-traits.ts
@@ -1,4 +1,4 @@
-import type {Ran} from './ran.ts';
+import type {ExecutionStatus} from './execution-status.ts';
 
 /**
 Fixed properties of an error code.
@@ -11,7 +11,7 @@
 	/**
 	What the code says about execution; `undefined` where it does not concern a request.
 	*/
-	readonly ran: Ran | undefined;
+	readonly ran: ExecutionStatus | undefined;
 	/**
 	Whether the same request may be sent again as it is.
 	*/
--- a/core/error/src/ran.ts
+++ b/core/error/src/execution-status.ts
@@ -5,4 +5,4 @@
  - `maybe`: the request was sent and its end is unknown.
  - `yes`: an answer, whole or in part, came back.
  */
-export type Ran = 'no' | 'maybe' | 'yes';
+export type ExecutionStatus = 'no' | 'maybe' | 'yes';
--- a/outcome/answers/src/answer-end.ts
+++ b/outcome/answers/src/answer-end.ts
@@ -1,4 +1,4 @@
-import type {ErrorCode, Ran} from '@valvesaddle/error';
+import type {ErrorCode, ExecutionStatus} from '@valvesaddle/error';
 import type {AnswerReply} from './answer-reply.ts';
 
 /**
@@ -18,6 +18,6 @@
 		/**
 		What may have happened, over all tries.
 		*/
-		readonly ran: Ran;
+		readonly ran: ExecutionStatus;
 		readonly retryAfterMs: number | undefined;
 	};
--- a/outcome/state/src/advance-outcome.ts
+++ b/outcome/state/src/advance-outcome.ts
@@ -1,4 +1,4 @@
-import {ValvesaddleError, type Ran} from '@valvesaddle/error';
+import {ValvesaddleError, type ExecutionStatus} from '@valvesaddle/error';
 import type {Outcome} from './outcome.ts';
 import type {OutcomeEvent} from './outcome-event.ts';
 import {outcomeTransitions} from './outcome-transitions.ts';
@@ -22,9 +22,9 @@
 	return state === 'refused' && outcome.ran !== 'no' ? {state: 'failed', ran: outcome.ran} : {state, ran: ranAfter[event](outcome)};
 }
 
-const keepRan = ({ran}: Outcome): Ran => ran;
+const keepRan = ({ran}: Outcome): ExecutionStatus => ran;
 
-const ranAfter: Readonly<Record<OutcomeEvent, (outcome: Outcome) => Ran>> = {
+const ranAfter: Readonly<Record<OutcomeEvent, (outcome: Outcome) => ExecutionStatus>> = {
 	queue: keepRan,
 	grant: keepRan,
 	send: keepRan,
--- a/outcome/state/src/outcome.ts
+++ b/outcome/state/src/outcome.ts
@@ -1,4 +1,4 @@
-import type {Ran} from '@valvesaddle/error';
+import type {ExecutionStatus} from '@valvesaddle/error';
 import type {OutcomeState} from './outcome-state.ts';
 
 /**
@@ -9,5 +9,5 @@
 	/**
 	What may have happened at endpoints so far; never goes back.
 	*/
-	readonly ran: Ran;
+	readonly ran: ExecutionStatus;
 };
