--- a/core/error/src/error-code.ts
+++ b/core/error/src/error-code.ts
@@ -1,6 +1,6 @@
 import type {errorTable} from './error-table.ts';
 
 /**
-Every error code of the project.
+Codes of `ValvesaddleError`.
 */
 export type ErrorCode = keyof typeof errorTable;
--- a/core/error/src/error-options.ts
+++ b/core/error/src/error-options.ts
@@ -7,7 +7,7 @@
 	*/
 	readonly cause?: unknown;
 	/**
-	Milliseconds after which another try makes sense.
+	Suggested delay before a retry, in milliseconds.
 	*/
 	readonly retryAfterMs?: number | undefined;
 };
--- a/core/error/src/error-table.ts
+++ b/core/error/src/error-table.ts
@@ -1,5 +1,5 @@
 /**
- Every error code of the project with its traits. A code's words to a caller follow from this table alone.
+ All error codes with their status, execution status, retryability and hint for callers.
  */
 export const errorTable = {
 	ERR_VALVESADDLE_UNAUTHENTICATED: {
--- a/core/error/src/error-traits.ts
+++ b/core/error/src/error-traits.ts
@@ -9,11 +9,11 @@
 	*/
 	readonly status: number;
 	/**
-	What the code says about execution; `undefined` where it does not concern a request.
+	Whether the request ran; `undefined` if the code implies nothing about it.
 	*/
 	readonly ran: ExecutionStatus | undefined;
 	/**
-	Whether the same request may be sent again as it is.
+	Whether the same request may be sent again unchanged.
 	*/
 	readonly retryable: boolean;
 	/**
--- a/core/error/src/execution-status.ts
+++ b/core/error/src/execution-status.ts
@@ -1,8 +1,8 @@
 /**
- Whether a request reached an endpoint and may have had an effect there.
+ Whether an endpoint ran a request, which may then have had an effect.
 
- - `no`: no byte of the request left the node, or the endpoint said so itself.
- - `maybe`: the request was sent and its end is unknown.
- - `yes`: an answer, whole or in part, came back.
+ - `no`: the request was not sent, or the endpoint reported that it did not run it.
+ - `maybe`: the request was sent and its outcome is unknown.
+ - `yes`: a complete or partial answer was received.
  */
 export type ExecutionStatus = 'no' | 'maybe' | 'yes';
--- a/core/error/src/is-error-code.ts
+++ b/core/error/src/is-error-code.ts
@@ -2,7 +2,7 @@
 import {errorTable} from './error-table.ts';
 
 /**
- Tells whether a string is one of the project's error codes.
+ Checks whether a string is an error code of the project.
 
  @example
  isErrorCode('ERR_VALVESADDLE_OVERLOADED'); // true
--- a/core/error/src/to-valvesaddle-error.ts
+++ b/core/error/src/to-valvesaddle-error.ts
@@ -1,7 +1,7 @@
 import {ValvesaddleError} from './valvesaddle-error.ts';
 
 /**
- Turns anything thrown into a {@link ValvesaddleError}; an unknown error becomes `ERR_VALVESADDLE_INTERNAL`.
+ Converts any thrown value to a {@link ValvesaddleError}; an unknown error becomes `ERR_VALVESADDLE_INTERNAL`.
 
  @example
  toValvesaddleError(new TypeError('x is undefined')).code; // 'ERR_VALVESADDLE_INTERNAL'
--- a/core/error/src/unwrap-result.ts
+++ b/core/error/src/unwrap-result.ts
@@ -2,7 +2,7 @@
 import type {ValvesaddleError} from './valvesaddle-error.ts';
 
 /**
- Value of a result, for code that passes failures on by throwing them.
+ Returns the value of a result, or throws its error.
 
  @throws The result's error.
  @example
--- a/core/error/src/valvesaddle-error.ts
+++ b/core/error/src/valvesaddle-error.ts
@@ -4,7 +4,7 @@
 import {errorTable} from './error-table.ts';
 
 /**
- The one error type of the project. What it means follows from its code.
+ Error type of the project; its code determines status, retryability and hint.
 
  @example
  throw new ValvesaddleError('ERR_VALVESADDLE_UNKNOWN_MODEL', 'no pool serves "permit-draft"');
--- a/core/error/test/naming.test.ts
+++ b/core/error/test/naming.test.ts
@@ -20,34 +20,34 @@
 
 test('every function begins with a verb of the list in docs/NAMING.md', async t => {
 	const verbs = await readVerbs();
-	const wrong: string[] = [];
+	const violations: string[] = [];
 	for (const source of await listSources()) {
-		// eslint-disable-next-line no-await-in-loop -- one file after the other
+		// eslint-disable-next-line no-await-in-loop -- files are read sequentially
 		const text = await readFile(path.join(root, source), 'utf8');
 		const names = text.split('\n').flatMap(line => functionPattern.exec(line.trim())?.groups?.name ?? []);
 		for (const name of names) {
 			const [verb = ''] = /^[a-z]+/v.exec(name) ?? [];
 			if (!verbs.has(verb)) {
-				wrong.push(`${source}: ${name}`);
+				violations.push(`${source}: ${name}`);
 			}
 		}
 	}
 
 	t.ok(verbs.size > 0 && verbs.size < 80);
-	t.same(wrong, []);
+	t.same(violations, []);
 });
 
 test('every file but an index exports one thing', async t => {
-	const wrong: string[] = [];
+	const violations: string[] = [];
 	for (const source of await listSources()) {
-		// eslint-disable-next-line no-await-in-loop -- one file after the other
+		// eslint-disable-next-line no-await-in-loop -- files are read sequentially
 		const text = await readFile(path.join(root, source), 'utf8');
 		const count = text.split('\n').filter(line => line.startsWith('export ')).length;
 		const isEntry = source.endsWith('main.ts') && count === 0;
 		if (count !== 1 && !isEntry && path.basename(source) !== 'index.ts') {
-			wrong.push(`${source}: ${count}`);
+			violations.push(`${source}: ${count}`);
 		}
 	}
 
-	t.same(wrong, []);
+	t.same(violations, []);
 });
