--- a/cli/valvesaddle/src/send-chat-options.ts
+++ b/cli/valvesaddle/src/send-chat-options.ts
@@ -1,5 +1,5 @@
 /**
-Options of `sendChat`.
+Node, request and output of a chat completion.
 */
 export type SendChatOptions = {
 	readonly url: string;
