--- a/outcome/state/src/outcome.ts
+++ b/outcome/state/src/outcome.ts
@@ -1,4 +1,4 @@
-import type {Ran} from '@valvesaddle/error';
+import type {ExecutionStatus} from '@valvesaddle/error';
 import type {OutcomeState} from './outcome-state.ts';
 
 /**
@@ -9,5 +9,5 @@
 	/**
 	Whether an endpoint may have run the request so far; never reverts to a weaker value.
 	*/
-	readonly ran: Ran;
+	readonly ran: ExecutionStatus;
 };
