--- a/config/schema/src/find-reference-errors.ts
+++ b/config/schema/src/find-reference-errors.ts
@@ -7,7 +7,7 @@
  the maximum.
 
  @example
- findReferenceErrors(configuration); // ['endpoints: "e1" refers to the unknown pool "drafting"']
+ findReferenceErrors(configuration); // ['endpoints: "e1" names the unknown pool "drafting"']
  */
 export function findReferenceErrors(configuration: Configuration): readonly string[] {
 	const {classes, accounts, pools, endpoints, bindings} = configuration;
@@ -42,13 +42,13 @@
 		(seen.has(name) ? duplicates : seen).add(name);
 	}
 
-	return [...duplicates].map(name => `${part}: "${name}" is defined twice`);
+	return [...duplicates].map(name => `${part}: "${name}" stands twice`);
 }
 
 function findUnknown(part: string, kind: string, known: ReadonlySet<string>, references: readonly Reference[]): readonly string[] {
 	return references
 		.filter(({reference}) => !known.has(reference))
-		.map(({name, reference}) => `${part}: "${name}" refers to the unknown ${kind} "${reference}"`);
+		.map(({name, reference}) => `${part}: "${name}" names the unknown ${kind} "${reference}"`);
 }
 
 function checkFloors({classes}: Configuration): readonly string[] {
--- a/config/schema/src/parse-record.ts
+++ b/config/schema/src/parse-record.ts
@@ -26,7 +26,7 @@
 	}
 
 	const parsed = recordSchema.safeParse(json);
-	return parsed.success ? ok(parsed.data) : err(new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', `the stored configuration does not match its schema: ${parsed.error.message}`));
+	return parsed.success ? ok(parsed.data) : err(new ValvesaddleError('ERR_VALVESADDLE_MESSAGE_INVALID', `the stored configuration does not have the expected form: ${parsed.error.message}`));
 }
 
 function decodeCompressed(text: string): string {
--- a/config/schema/test/configuration.test.ts
+++ b/config/schema/test/configuration.test.ts
@@ -33,9 +33,9 @@
 });
 
 const invalidCases: ReadonlyArray<readonly [string, unknown, string]> = [
-	['a duplicate class', {...configuration, classes: [requestClass, requestClass]}, 'classes: "gate" is defined twice'],
-	['an endpoint of an unknown pool', {...configuration, pools: []}, 'endpoints: "e1" refers to the unknown pool "drafting"'],
-	['a binding with an unknown class', {...configuration, classes: []}, 'bindings: "sawmill" refers to the unknown class "gate"'],
+	['a duplicate class', {...configuration, classes: [requestClass, requestClass]}, 'classes: "gate" stands twice'],
+	['an endpoint of an unknown pool', {...configuration, pools: []}, 'endpoints: "e1" names the unknown pool "drafting"'],
+	['a binding with an unknown class', {...configuration, classes: []}, 'bindings: "sawmill" names the unknown class "gate"'],
 	['an API key shared by two accounts', {...configuration, accounts: [...configuration.accounts, {...configuration.accounts[0], name: 'depot'}]}, 'keyHashes:'],
 	['floors above the maximum sum', {...configuration, classes: ['a', 'b'].map(name => ({...requestClass, name, floor: 0.2}))}, 'floors add up to 0.40'],
 	['an unhashed API key', {...configuration, accounts: [{name: 'sawmill', keyHashes: ['secret']}]}, 'accounts.0.keyHashes.0: expected a SHA-256'],
--- a/config/store/src/create-config-store.ts
+++ b/config/store/src/create-config-store.ts
@@ -67,7 +67,7 @@
 	function checkSize(text: string): Result<string, ValvesaddleError> {
 		return text.length <= maximumValueBytes
 			? ok(text)
-			: err(new ValvesaddleError('ERR_VALVESADDLE_CONFIGURATION_INVALID', `the configuration takes ${text.length} bytes when compressed; the maximum is ${maximumValueBytes}`));
+			: err(new ValvesaddleError('ERR_VALVESADDLE_CONFIGURATION_INVALID', `the configuration takes ${text.length} bytes as stored, more than ${maximumValueBytes}`));
 	}
 
 	async function write(change: Change, {record, modifyIndex}: StoredRecord): Promise<Result<ConfigurationRecord, ValvesaddleError>> {
@@ -132,6 +132,6 @@
 }
 
 function toConflictError(change: Change, revision: number | undefined): ValvesaddleError {
-	const found = revision === undefined ? 'another change was accepted first' : `the newest revision is ${revision}`;
-	return new ValvesaddleError('ERR_VALVESADDLE_CONFIGURATION_CONFLICT', `change "${change.changeId}" is based on revision ${change.expectedRevision}, but ${found}`);
+	const found = revision === undefined ? 'another change was accepted meanwhile' : `the newest revision is ${revision}`;
+	return new ValvesaddleError('ERR_VALVESADDLE_CONFIGURATION_CONFLICT', `change "${change.changeId}" was made against revision ${change.expectedRevision}, but ${found}`);
 }
--- a/node/router/src/create-health.ts
+++ b/node/router/src/create-health.ts
@@ -88,8 +88,8 @@
 
 	const refusals: Readonly<Record<NodeState, () => ValvesaddleError | undefined>> = {
 		starting: () => new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'the node has no configuration yet', {retryAfterMs}),
-		isolated: () => new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'the node can reach neither another node nor the key-value service', {retryAfterMs}),
-		draining: () => drainPhase === 'refuse' ? new ValvesaddleError('ERR_VALVESADDLE_DRAINING', 'the node is draining', {retryAfterMs}) : undefined,
+		isolated: () => new ValvesaddleError('ERR_VALVESADDLE_NOT_READY', 'the node reaches no other node and no key-value service', {retryAfterMs}),
+		draining: () => drainPhase === 'refuse' ? new ValvesaddleError('ERR_VALVESADDLE_DRAINING', 'the node is leaving', {retryAfterMs}) : undefined,
 		ready: () => undefined,
 	};
 
--- a/node/router/src/create-peer-handlers.ts
+++ b/node/router/src/create-peer-handlers.ts
@@ -60,7 +60,7 @@
 			const {requestId, account, offset} = parse(readRequestSchema, parameters);
 			const log = answers.find(requestId);
 			if (log?.account !== account) {
-				throw new ValvesaddleError('ERR_VALVESADDLE_UNKNOWN_REQUEST', `no answer is stored for request ${requestId}`);
+				throw new ValvesaddleError('ERR_VALVESADDLE_UNKNOWN_REQUEST', `no answer is kept under ${requestId}`);
 			}
 
 			// A large message delays urgent calls behind it, and one over 2 MiB breaks the link.
--- a/node/router/src/create-remote-answer.ts
+++ b/node/router/src/create-remote-answer.ts
@@ -27,7 +27,7 @@
 			return page.data;
 		}
 
-		const reason = result.isErr() ? result.error.message : 'the page is invalid';
+		const reason = result.isErr() ? result.error.message : 'the page has an unknown form';
 		return {
 			parts: [],
 			end: {
