--- a/emulator/beliefs/src/create-emulated-network.ts
+++ b/emulator/beliefs/src/create-emulated-network.ts
@@ -54,7 +54,7 @@
 
 	function addLink(node: string, socket: EmulatedSocket): void {
 		const link = createPeerLink({
-			node, socket: socket as unknown as WebSocket, handlers, linkTimeoutMs: linkTimeoutMs, metrics,
+			node, socket: socket as unknown as WebSocket, handlers, linkTimeoutMs, metrics,
 			onClose() {
 				all.delete(link);
 				if (links.get(node) !== link) {
--- a/emulator/beliefs/src/create-propagation-node.ts
+++ b/emulator/beliefs/src/create-propagation-node.ts
@@ -70,7 +70,7 @@
 		network,
 		view,
 		follower,
-		selector: takeLoadUpdate === undefined ? selector : {...selector, takeLoadUpdate: takeLoadUpdate},
+		selector: takeLoadUpdate === undefined ? selector : {...selector, takeLoadUpdate},
 		loadUpdateMs: settings.peers.news_ms,
 		hasOpenRequests: () => true,
 		heartbeatMs: settings.peers.heartbeat_ms,
